--- a/swiftthread/__main__.py
+++ b/swiftthread/__main__.py
@@ -9,9 +9,9 @@
 import anyio
 from loguru import logger
 
-from swiftthread.service.start import SIGNALS, serve
-from swiftthread.service.told import Told
-from swiftthread.terms import Malformed
+from swiftthread.configuration.node_config import NodeConfig
+from swiftthread.configuration.settings_reader import MalformedInput
+from swiftthread.service.startup import SIGNALS, serve
 
 SAME_LINE_S = 5.0  # s: one place in the code writes at most one line in so long; a storm stays readable
 
@@ -47,8 +47,8 @@
         diagnose=False,
     )
     try:
-        told = Told(os.environ)
-    except Malformed as fault:
+        told = NodeConfig(os.environ)
+    except MalformedInput as fault:
         print(f"swiftthread: {fault}", file=sys.stderr)
         return 2
     gc.freeze()
--- a/swiftthread/wire/registry.py
+++ b/swiftthread/client/discovery_client.py
@@ -8,8 +8,8 @@
 import h11
 from loguru import logger
 
-from swiftthread.wire.answer import UNREADABLE, parser, request
-from swiftthread.wire.line import Broken, address_of, connect
+from swiftthread.client.http_exchange import UNREADABLE, parser, request
+from swiftthread.network.connection import ConnectionClosed, connect, parse_address
 
 MOST_LIST = 4 * 1024 * 1024  # bytes: far over the list of any fleet of the pages
 MOST_DOUBTFUL = 2  # lists in a row with an unreadable entry after which it is lived with
@@ -17,26 +17,27 @@
 READY, GONE = "SERVING", "DELETED"
 
 
-class Registry:
+class DiscoveryClient:
     """Owner of the watch's connection and of the addresses."""
 
     def __init__(self, address, buffers, kinds, zones, quiet_ms, connect_ms):
         self.address, self.buffers, self.kinds, self.zones = address, buffers, kinds, zones
-        self.quiet, self.connect = quiet_ms, connect_ms
+        self.quiet_ms, self.connect_timeout_ms = quiet_ms, connect_ms
         self.version, self.addresses = 0, {}  # endpoint id -> (host, port); emptied as endpoints go
-        self.known = {}  # endpoint id -> its entry as last read; emptied as endpoints go
+        self.entries = {}  # endpoint id -> its entry as last read; emptied as endpoints go
         self.watching = anyio.CancelScope()
-        self.doubtful = 0  # so many lists in a row held an entry that could not be read
-        self.foreign = {}  # zone name, or endpoint without one, that the settings don't know -> its number;
-        #                         emptied with each whole list
+        self.unreadable_in_a_row = 0  # so many lists in a row held an entry that could not be read
+        # Zone name that the settings do not know, or endpoint without one -> its number; emptied with each
+        # complete list.
+        self.unknown_zones = {}
 
-    def move(self, address):
+    def change_address(self, address):
         """Discovery is elsewhere: the watch ends, and the next asks there for the whole list."""
         if address != self.address:
             self.address, self.version = address, 0
             self.watching.cancel()
 
-    def entries(self, page):
+    def parse_list(self, page):
         """A list in discovery's form as the module's (entries, whole).
 
         ValueError, and nothing is changed, when it is none. Of an entry that cannot be read nothing is taken
@@ -45,9 +46,9 @@
         servers, version = page["servers"], int(page.get("version") or self.version)
         if not isinstance(servers, list):
             raise ValueError("the entries are no list")
-        found, whole, doubtful, before = [], bool(page.get("full")), False, dict(self.known)
+        found, whole, doubtful, before = [], bool(page.get("full")), False, dict(self.entries)
         if whole:
-            for table in (self.known, self.addresses, self.foreign):
+            for table in (self.entries, self.addresses, self.unknown_zones):
                 table.clear()
         for row in servers:
             try:
@@ -58,7 +59,7 @@
                 ident = row.get("id") if isinstance(row, dict) else None
                 if isinstance(ident, str) and ident in before:
                     found.append((*before[ident][:-1], False))
-        self.version, self.doubtful = version, self.doubtful + 1 if doubtful else 0
+        self.version, self.unreadable_in_a_row = version, self.unreadable_in_a_row + 1 if doubtful else 0
         return found, whole
 
     def _entry(self, row):
@@ -66,7 +67,7 @@
         ident, state = row["id"], row["state"]
         if not isinstance(ident, str):
             raise ValueError("the id is no text")
-        address = None if state == GONE else address_of(row["addr"])
+        address = None if state == GONE else parse_address(row["addr"])
         entry = (
             ident,
             int(row["cell"]),
@@ -76,10 +77,10 @@
             state == READY,
         )
         if state == GONE:
-            for table in (self.known, self.addresses, self.foreign):
+            for table in (self.entries, self.addresses, self.unknown_zones):
                 table.pop(ident, None)
         else:
-            self.known[ident], self.addresses[ident] = entry, address
+            self.entries[ident], self.addresses[ident] = entry, address
         return entry
 
     def _kind(self, ident, name):
@@ -103,14 +104,14 @@
         if isinstance(name, str) and name in self.zones:
             return self.zones[name]
         named = isinstance(name, str) and name
-        if (said := name if named else ident) not in self.foreign:
-            self.foreign[said] = UNNAMED + zlib.crc32(repr((bool(named), said)).encode())
+        if (said := name if named else ident) not in self.unknown_zones:
+            self.unknown_zones[said] = UNNAMED + zlib.crc32(repr((bool(named), said)).encode())
             logger.warning(
                 "endpoint {}: zone {!r} is none of the settings'; it is held apart from all others",
                 ident,
                 name,
             )
-        return self.foreign[said]
+        return self.unknown_zones[said]
 
     async def watch(self, told):
         """Hand each list that comes to `told`, until the watch ends, falls silent or breaks.
@@ -122,15 +123,15 @@
         return not self.watching.cancelled_caught
 
     async def _watch(self, told):
-        line = None
+        connection = None
         try:
-            with anyio.fail_after(self.connect / 1000.0):
-                line = await connect(self.address, self.buffers, parser())
+            with anyio.fail_after(self.connect_timeout_ms / 1000.0):
+                connection = await connect(self.address, self.buffers, parser())
             target = f"/catalog/members?watch=1&from={self.version}"
-            await line.write(*request(line, "GET", target, [("Host", "discovery")]))
-            rows, lists = Rows(line), Lists()
+            await connection.write(*request(connection, "GET", target, [("Host", "discovery")]))
+            rows, lists = WatchLines(connection), JsonAssembler()
             while True:
-                with anyio.fail_after(self.quiet / 1000.0):  # bytes without an end are silence, too
+                with anyio.fail_after(self.quiet_ms / 1000.0):  # bytes without an end are silence, too
                     while (
                         (row := await rows.next()) is not None
                         and (page := lists.add(row)) is None
@@ -140,11 +141,11 @@
                 if row is None:
                     return
                 if page is not None:
-                    found, whole = self.entries(page)
+                    found, whole = self.parse_list(page)
                     await told(found, whole)
-                    if 0 < self.doubtful <= MOST_DOUBTFUL:
+                    if 0 < self.unreadable_in_a_row <= MOST_DOUBTFUL:
                         raise ValueError("an entry is unknown")  # the whole list, asked for anew, may say it
-        except (Broken, TimeoutError):
+        except (ConnectionClosed, TimeoutError):
             logger.info("the watch ended")
         except UNREADABLE as fault:
             self.version = 0  # what was missed is unknown: the whole list is asked for
@@ -153,15 +154,15 @@
             self.version = 0
             logger.exception("the watch failed")
         finally:
-            if line is not None:
-                line.close()
+            if connection is not None:
+                connection.close()
 
 
-class Rows:
+class WatchLines:
     """The lines of a watch's body, as they come."""
 
-    def __init__(self, line):
-        self.line, self.rows, self.rest = line, deque(), bytearray()
+    def __init__(self, connection):
+        self.line, self.rows, self.rest = connection, deque(), bytearray()
 
     async def next(self):
         """The next whole line; None at the end of the body."""
@@ -184,7 +185,7 @@
             try:
                 part = self.line.parser.next_event()
             except h11.RemoteProtocolError:
-                raise Broken(True) from None
+                raise ConnectionClosed(True) from None
             if part is h11.NEED_DATA:
                 await self.line.read()
             elif isinstance(part, h11.Data):
@@ -196,7 +197,7 @@
                 return None
 
 
-class Lists:
+class JsonAssembler:
     """JSON objects out of lines: one a line, or indented over several."""
 
     def __init__(self):
--- a/swiftthread/wire/answer.py
+++ b/swiftthread/client/http_exchange.py
@@ -9,7 +9,7 @@
 import anyio
 import h11
 
-from swiftthread.wire.line import Broken
+from swiftthread.network.connection import ConnectionClosed
 
 MOST_HEAD = 32 * 1024  # bytes of a first line and headers; no answer of the pages is near it
 MOST_BODY = 64 * 1024  # bytes of a body, the page's; a longer one, or one said to be longer, is spoilt
@@ -31,7 +31,7 @@
     return h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
 
 
-class Answer:
+class HttpResponse:
     """Status, headers (lower-case names) and body, filled in as they come.
 
     `first`: the status in its first line, also when the rest cannot be read; `whole`: all has come; `begun`:
@@ -39,29 +39,35 @@
     """
 
     def __init__(self):
-        self.status, self.headers, self.body, self.first, self.interim = None, {}, bytearray(), None, 0
-        self.whole, self.begun, self.noisy = False, False, False
-
-    def absorb(self, line):
+        self.status, self.headers, self.body, self.first_line_status, self.interim = (
+            None,
+            {},
+            bytearray(),
+            None,
+            0,
+        )
+        self.is_complete, self.has_begun, self.has_trailing_bytes = False, False, False
+
+    def feed_from(self, connection):
         """Take in what the parser holds; whether that is all.
 
         Broken when it is no answer or ends too early.
         """
         try:
-            while not self.whole:
+            while not self.is_complete:
                 if self.status is None:
-                    said = FIRST_LINE.match(line.parser.trailing_data[0])
-                    self.first = int(said[1]) if said else None
-                part = line.parser.next_event()
+                    said = FIRST_LINE.match(connection.parser.trailing_data[0])
+                    self.first_line_status = int(said[1]) if said else None
+                part = connection.parser.next_event()
                 if part is h11.NEED_DATA:
-                    self.begun = self.status is not None or line.parser.trailing_data[0] != b""
+                    self.has_begun = self.status is not None or connection.parser.trailing_data[0] != b""
                     return False
                 self._note(part)
         except h11.RemoteProtocolError:
-            self.begun = True
-            raise Broken(True) from None
-        over = line.parser.trailing_data[0]
-        self.noisy = over != b"" and not FIRST_LINE.match(over)
+            self.has_begun = True
+            raise ConnectionClosed(True) from None
+        over = connection.parser.trailing_data[0]
+        self.has_trailing_bytes = over != b"" and not FIRST_LINE.match(over)
         return True
 
     def _note(self, part):
@@ -69,55 +75,55 @@
             self.status = part.status_code
             self.headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in part.headers}
             if int(self.headers.get("content-length", 0)) > MOST_BODY:
-                raise Broken(True)
+                raise ConnectionClosed(True)
         elif isinstance(part, h11.InformationalResponse):
             self.interim += 1
             if self.interim > MOST_INTERIM:
-                raise Broken(True)
+                raise ConnectionClosed(True)
         elif isinstance(part, h11.Data):
             self.body += part.data
             if len(self.body) > MOST_BODY:
-                raise Broken(True)
+                raise ConnectionClosed(True)
         elif isinstance(part, h11.EndOfMessage):
-            self.whole = True
+            self.is_complete = True
         else:
-            raise Broken(True)
+            raise ConnectionClosed(True)
 
-    def keeps(self, line):
+    def allows_reuse(self, connection):
         """Whether another request may follow on this connection: nothing came beside the answer."""
         if (
-            not self.whole
-            or line.parser.our_state is not h11.DONE
-            or line.parser.their_state is not h11.DONE
-            or line.parser.trailing_data != (b"", False)
+            not self.is_complete
+            or connection.parser.our_state is not h11.DONE
+            or connection.parser.their_state is not h11.DONE
+            or connection.parser.trailing_data != (b"", False)
         ):
             return False
-        line.parser.start_next_cycle()
+        connection.parser.start_next_cycle()
         return True
 
 
-def request(line, method, target, headers, body=b""):
+def request(connection, method, target, headers, body=b""):
     """The bytes of a request, as the parser notes that it goes out."""
     if body or method == "POST":
         headers = [*headers, ("Content-Length", str(len(body)))]
-    parts = [line.parser.send(h11.Request(method=method, target=target, headers=headers))]
+    parts = [connection.parser.send(h11.Request(method=method, target=target, headers=headers))]
     if body:
-        parts.append(line.parser.send(h11.Data(data=body)))
-    parts.append(line.parser.send(h11.EndOfMessage()))
+        parts.append(connection.parser.send(h11.Data(data=body)))
+    parts.append(connection.parser.send(h11.EndOfMessage()))
     return parts
 
 
-async def exchange(line, method, target, headers, body, answer, patience):
+async def exchange(connection, method, target, headers, body, response, patience):
     """Write a request and take in the whole answer."""
-    await line.write(*request(line, method, target, headers, body))
-    await receive(line, answer, patience)
+    await connection.write(*request(connection, method, target, headers, body))
+    await receive(connection, response, patience)
 
 
-async def receive(line, answer, patience):
+async def receive(connection, response, patience):
     """Take in the whole answer. Once that has begun, the patience (a cancel scope) is cut short."""
     full, begun = patience.deadline, False
-    while not answer.absorb(line):
-        if answer.begun != begun:  # back to False after an answer of 1xx
-            begun = answer.begun
+    while not response.feed_from(connection):
+        if response.has_begun != begun:  # back to False after an answer of 1xx
+            begun = response.has_begun
             patience.deadline = min(full, anyio.current_time() + REST_MS / 1000.0) if begun else full
-        await line.read()
+        await connection.read()
--- a/swiftthread/wire/notices.py
+++ b/swiftthread/client/result_notifier.py
@@ -5,13 +5,13 @@
 import anyio
 from loguru import logger
 
-from swiftthread.wire.answer import Answer, exchange, parser
-from swiftthread.wire.line import Broken, connect
+from swiftthread.client.http_exchange import HttpResponse, exchange, parser
+from swiftthread.network.connection import ConnectionClosed, connect
 
 AT_ONCE = 200  # lines in one body: well inside 64 KiB
 
 
-class Notices:
+class ResultNotifier:
     """Owner of the connection that notices go on."""
 
     def __init__(self, address, buffers, answer_ms, pause_ms):
@@ -20,13 +20,13 @@
         self.bell, self.posting = anyio.Event(), anyio.CancelScope()
         self.line, self.line_to = None, None
 
-    def move(self, address):
+    def change_address(self, address):
         """The platform is elsewhere: what is not answered yet is told there, maybe once more."""
         if address != self.address:
             self.address = address
             self.posting.cancel()
 
-    async def tell(self, ident, outcome, retry_in_ms):
+    async def notify(self, ident, outcome, retry_in_ms):
         """Return once the platform has the notice."""
         row = {"message": ident, "outcome": outcome}
         if retry_in_ms:
@@ -56,24 +56,24 @@
 
     async def _post(self, batch):
         body = "".join(line + "\n" for line, _ in batch.values()).encode()
-        address, answer = self.address, Answer()
-        if self.line is not None and not (self.line_to == address and self.line.fresh()):
+        address, response = self.address, HttpResponse()
+        if self.line is not None and not (self.line_to == address and self.line.is_untouched()):
             self._close()
         try:
             with anyio.move_on_after(self.answer / 1000.0) as self.posting:
                 if self.line is None:
                     self.line, self.line_to = await connect(address, self.buffers, parser()), address
                 await exchange(
-                    self.line, "POST", "/status", [("Host", "discovery")], body, answer, self.posting
+                    self.line, "POST", "/status", [("Host", "discovery")], body, response, self.posting
                 )
-        except Broken:
+        except ConnectionClosed:
             pass
         except Exception:  # guards the node: it is told again, on another connection
             logger.exception("notices failed")
-            answer = Answer()
-        if self.line is not None and not answer.keeps(self.line):
+            response = HttpResponse()
+        if self.line is not None and not response.allows_reuse(self.line):
             self._close()
-        return answer.whole and answer.status == 204
+        return response.is_complete and response.status == 204
 
     def _close(self):
         if self.line is not None:
--- a/swiftthread/wire/line.py
+++ b/swiftthread/network/connection.py
@@ -21,7 +21,7 @@
 COUNT = struct.Struct("i")
 
 
-class Broken(Exception):
+class ConnectionClosed(Exception):
     """The connection is over.
 
     `written` tells whether the kernel had taken all bytes of the last message; `refused` that the other
@@ -33,21 +33,21 @@
         self.written, self.refused = written, refused
 
 
-class Line:
+class Connection:
     """A connection and its parser. Who opens or accepts it closes it."""
 
     def __init__(self, sock, buffers, parser):
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.sock, self.buffers, self.parser = sock, buffers, parser
+        self.socket, self.buffers, self.parser = sock, buffers, parser
         self.idle_since = None  # None: it never idled, so its call is the first on it
-        self.came_at = None  # Unix ms at which the kernel had the bytes read last; None: it does not say
+        self.received_at = None  # Unix ms at which the kernel had the bytes read last; None: it does not say
 
-    def stamp(self):
+    def enable_timestamps(self):
         """From now on the kernel notes when bytes come: what we read late is told from what came late."""
         # Then lateness of ours counts as the other side's, as before.
         with contextlib.suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, STAMP, 1)
+            self.socket.setsockopt(socket.SOL_SOCKET, STAMP, 1)
         return self
 
     async def write(self, *parts):
@@ -55,67 +55,67 @@
         left = memoryview(b"".join(parts))
         while left:
             try:
-                left = left[self.sock.send(left) :]
+                left = left[self.socket.send(left) :]
             except BlockingIOError:
                 await self._when(anyio.wait_writable)
             except OSError:
-                raise Broken(False) from None
+                raise ConnectionClosed(False) from None
 
-    def read_now(self):
+    def read_available(self):
         """Hand the parser what has come; False when nothing has."""
         try:
-            with self.buffers.lent() as buffer:
-                size, notes, _, _ = self.sock.recvmsg_into([buffer], STAMP_ROOM)
+            with self.buffers.borrow() as buffer:
+                size, notes, _, _ = self.socket.recvmsg_into([buffer], STAMP_ROOM)
                 for level, kind, data in notes:
                     if (level, kind) == (socket.SOL_SOCKET, STAMP) and len(data) == STAMPED.size:
                         seconds, nanos = STAMPED.unpack(data)
-                        self.came_at = seconds * 1000.0 + nanos / 1e6
+                        self.received_at = seconds * 1000.0 + nanos / 1e6
                 self.parser.receive_data(bytes(buffer[:size]))
         except BlockingIOError:
             return False
         except (OSError, RuntimeError):  # the latter: the parser was told of the end before
-            raise Broken(True) from None
+            raise ConnectionClosed(True) from None
         return True
 
     async def read(self):
         """Wait for bytes and feed them to the parser; Broken when the connection is over."""
-        while not self.read_now():
+        while not self.read_available():
             await self._when(anyio.wait_readable)
 
-    def left(self):
+    def peer_has_closed(self):
         """The other side has closed, whatever of it is still unread."""
         try:
-            return self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in LEFT
+            return self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in LEFT
         except OSError:
             return True
 
-    async def comes(self):
+    async def wait_until_readable(self):
         """Wait until there is something to read, or the end."""
         await self._when(anyio.wait_readable)
 
     async def _when(self, can):
         try:
-            await can(self.sock)
+            await can(self.socket)
         except (anyio.ClosedResourceError, OSError, ValueError):
-            raise Broken(True) from None  # closed here while this task waited
+            raise ConnectionClosed(True) from None  # closed here while this task waited
 
-    def shut_down(self):
+    def shutdown_write(self):
         """End our side. Whoever waits to read is woken, and finds it broken."""
         # The other side has closed or reset it.
         with contextlib.suppress(OSError):
-            self.sock.shutdown(socket.SHUT_WR)
-        anyio.notify_closing(self.sock)
+            self.socket.shutdown(socket.SHUT_WR)
+        anyio.notify_closing(self.socket)
 
-    async def finish(self, most_ms):
+    async def shutdown_and_drain(self, most_ms):
         """End our side, and read on until the other ends too: else a reset may overtake the answer."""
         with anyio.move_on_after(most_ms / 1000.0):
             try:
-                self.sock.shutdown(socket.SHUT_WR)
+                self.socket.shutdown(socket.SHUT_WR)
                 while True:
                     await self._when(anyio.wait_readable)
                     if self._drop():
                         return
-            except (OSError, Broken):
+            except (OSError, ConnectionClosed):
                 pass
 
     def _drop(self):
@@ -123,19 +123,19 @@
 
         Much at once, for each wait costs more than a read.
         """
-        with self.buffers.lent() as buffer:
+        with self.buffers.borrow() as buffer:
             for _ in range(DROPPED_AT_ONCE):
                 try:
-                    if not self.sock.recv_into(buffer):
+                    if not self.socket.recv_into(buffer):
                         return True
                 except BlockingIOError:
                     break
         return False
 
-    def fresh(self):
+    def is_untouched(self):
         """Nothing has come since the last answer: neither an end nor stray bytes."""
         try:
-            self.sock.recv(1, socket.MSG_PEEK)
+            self.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return True
         except OSError:
@@ -144,24 +144,24 @@
 
     def close(self):
         """Whoever waits on it is woken, and finds it broken."""
-        if self.sock.fileno() >= 0:
-            anyio.notify_closing(self.sock)
-            self.sock.close()
+        if self.socket.fileno() >= 0:
+            anyio.notify_closing(self.socket)
+            self.socket.close()
 
-    def abort(self):
+    def reset(self):
         """Close, and let nothing more arrive of what was written: the kernel would go on for minutes."""
         # It is over, or the kernel closes in its own way.
         with contextlib.suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
         self.close()
 
-    def arrived(self):
+    def is_all_acknowledged(self):
         """Whether the other machine has acknowledged all that was written.
 
         So, too, where the kernel can't say.
         """
         try:
-            return not any(fcntl.ioctl(self.sock, termios.TIOCOUTQ, COUNT.pack(0)))
+            return not any(fcntl.ioctl(self.socket, termios.TIOCOUTQ, COUNT.pack(0)))
         except OSError:
             return True
 
@@ -171,7 +171,7 @@
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:  # no descriptor is free
-        raise Broken(False) from None
+        raise ConnectionClosed(False) from None
     try:
         sock.setblocking(False)
         code = sock.connect_ex(address)
@@ -184,16 +184,16 @@
             if not code:
                 sock.getpeername()
         if code:
-            raise Broken(False, code == errno.ECONNREFUSED)
-        return Line(sock, buffers, parser)
+            raise ConnectionClosed(False, code == errno.ECONNREFUSED)
+        return Connection(sock, buffers, parser)
     except BaseException as fault:
         sock.close()
         if isinstance(fault, OSError):
-            raise Broken(False) from None
+            raise ConnectionClosed(False) from None
         raise
 
 
-def listening(address, backlog):
+def open_listener(address, backlog):
     """A socket that listens on (host, port).
 
     So many may wait there to be accepted, or as many as the kernel lets.
@@ -210,7 +210,7 @@
     return sock
 
 
-def address_of(text):
+def parse_address(text):
     """Parse "10.0.0.4:9000" into (host, port); ValueError when it is no such thing."""
     host, _, port = str(text).rpartition(":")
     if not host or not 0 < int(port) < 65536:
--- a/swiftthread/store/lines.py
+++ b/swiftthread/network/connection_pool.py
@@ -3,35 +3,35 @@
 from collections import deque
 
 
-class Lines:
+class ConnectionPool:
     """Owner of idle connections. One is out of here while a call is on it, and back or closed after it."""
 
     def __init__(self, clock, most_idle_ms, most):
-        self.clock, self.most_idle, self.most = clock, most_idle_ms, most
+        self.clock, self.max_idle_ms, self.max_connections = clock, most_idle_ms, most
         # (endpoint id, address) -> connections, oldest first; emptied by use, age, closes or an end
         self.idle = {}
         self.count = 0
 
-    def take(self, place):
+    def acquire(self, place):
         """The connection used last, if one is still good, else None."""
-        self.sweep()
+        self.close_expired()
         while place in self.idle:
-            line = self._out(place, newest=True)
-            if line.fresh():
-                return line
-            line.close()
+            connection = self._out(place, newest=True)
+            if connection.is_untouched():
+                return connection
+            connection.close()
         return None
 
-    def give(self, place, line):
+    def release(self, place, connection):
         """Keep a connection that a call is done with."""
-        line.idle_since = self.clock()
-        self.idle.setdefault(place, deque()).append(line)
+        connection.idle_since = self.clock()
+        self.idle.setdefault(place, deque()).append(connection)
         self.count += 1
-        self.sweep()
-        while self.count > self.most:
+        self.close_expired()
+        while self.count > self.max_connections:
             self._close_oldest(min(self.idle, key=lambda at: self.idle[at][0].idle_since))
 
-    def close(self, place):
+    def close_idle(self, place):
         """Close the idle connections to one place."""
         while place in self.idle:
             self._close_oldest(place)
@@ -39,11 +39,11 @@
     def close_all(self):
         """Close all idle connections."""
         for place in list(self.idle):
-            self.close(place)
+            self.close_idle(place)
 
-    def sweep(self):
+    def close_expired(self):
         """Close what has idled so long that the endpoint may close it while a call is under way to it."""
-        limit = self.clock() - self.most_idle
+        limit = self.clock() - self.max_idle_ms
         for place in list(self.idle):
             while place in self.idle and self.idle[place][0].idle_since <= limit:
                 self._close_oldest(place)
@@ -53,8 +53,8 @@
 
     def _out(self, place, newest):
         kept = self.idle[place]
-        line = kept.pop() if newest else kept.popleft()
+        connection = kept.pop() if newest else kept.popleft()
         self.count -= 1
         if not kept:
             del self.idle[place]
-        return line
+        return connection
--- /dev/null
+++ b/swiftthread/routing/router.py
@@ -0,0 +1,887 @@
+"""Every decision of swiftthread, for one delivery node that sees only its own traffic.
+
+A caller builds one `Dispatcher`, hands in events (`take`) and what it learns (`listed`, `list_failed`,
+`withdrawn`, `probed`), has the events that may be asked for put `in_order`, and makes three calls: `where`
+(a send, later, a decline or a discard), `after` (what an outcome means for the event) and `wait` (when to
+ask again after "later"). `probes`, `closes`, `wants_list`, `next_moment`: once a turn. Plain values:
+plain.py. The design, what was kept and changed: docs/design.md.
+"""
+
+import hashlib
+import math
+import random
+from collections import deque
+
+from swiftthread.routing.events import Call, Destination, Event
+from swiftthread.routing.messages import NEVER_RAN, Abandon, Defer, NextCheck, Reject, Send, SendOutcome
+from swiftthread.routing.settings import Effect, Settings
+from swiftthread.routing.statistics import RecentCount, SlidingMedian, SmoothedRate
+
+# Constants. Those marked "page" are the design page's, the rest are ours.
+GROW = 0.08  # x first rate each second: clean growth past the level; slow beside a halving
+SEARCH_MS, SEARCH_MOST = 2000.0, 8.0  # ms since a cut for x1 of its growth, and most; 2 to 2,000/s in 20 s
+MOST_RATE = 1.5  # x listed: no node needs more than all of it, and the list may be somewhat low
+CUT = 0.5  # page: a refusal, an error run or risen latency halves the rate
+LEVEL_KEPT = 0.9  # x level: what a refusal leaves of the level that clean seconds lead back to
+CLEAN_MS = 1000.0  # page: a clean second doubles the rate; also the least time between two cuts
+ROUGH_SURE = 0.7  # of a roughly listed rate: it may be up to half too high
+LEAST_RATE = 0.001  # calls per ms, page: an unpaced key's first cut never goes under one a second
+BURST = 0.3  # intervals: little burst tolerance, one call early
+SLACK_MS = 20.0  # ms past its moment in which a slot counts as kept; a few turns of the caller
+RIDER = 0.05  # of an interval: what one more event in a call costs; it is work, not a call
+ALONE_MS = 1000.0  # ms without an ack after which one unanswered or unreached call tells of an outage
+ERROR_RUN = 3  # calls failing in a row, none between: an error run; two can be chance
+WINDOW, RISEN = 24, 2.0  # latencies for a median, at a cv of 1.4; page: risen is over this many times its low
+RISE_MS = 40.0  # ms: a rise by less harms no SLO time; calls that leave together wait for each other
+USUAL_MS = 350.0  # ms: latency assumed before the first was seen
+MOSTLY_BAD = 0.6  # share of failed calls, smoothed, from which a sink counts as failing
+SMOOTH = 0.15  # weight of the newest call in that share; about the last dozen calls
+QUIET_MS, QUIET_CALLS = 700.0, 4.0  # ms, x usual latency: no outcome for both is quiet; over a brief stall
+TRY_MS = 300.0  # ms: least pause before a failing sink is tried; a few round trips
+ALLOW_MS, ALLOW_CALLS, ALLOW_MOST_MS = 1200.0, 8.0, 6000.0  # ms + x usual latency, at most; a long tail's p99
+ALLOW_REST = 0.6  # of the repeat window or the rest of the max age, so that another send fits inside
+USUAL_SPAN_MS = 10000.0  # ms: span of the smoothed rate of acked calls, this node's usual part of a key
+BUSY = 0.33  # of the SLO time (mean by utility): nodes with an event in it share a key's rate
+AT_ONCE = 0.5  # of the time for a connect: one that fails sooner was refused, not unanswered
+CROWDED_MS = 20000.0  # ms for which a refused connect says that the endpoint's table is short of room
+USED, PLACE_MS = 0.2, 50.0  # share of the time from which a connection is kept: in use, or being made anew
+FELL = 0.6  # of the limit held true: a told limit below that is a fall, not noise
+SHUT_MS, REFUSED_RUN = 2100.0, 1  # ms told to wait, or refused in a row for that long: shut; fewer are chance
+SHUN_MS = 5000.0  # ms for which a stream type goes past an endpoint that failed it; some SLO times
+SCARCE = 0.7  # of the slots: from here no destination may take more than half of those out
+PUSHED_PAUSE_MS = 200.0  # ms, mean, before a list is asked for again of a local agent
+ASKED_PAUSE_MS = 1000.0  # the same of a discovery that all nodes share; doubled by each failure
+PAUSE_SPREAD = 0.5  # of that pause, either way: nodes that lost their lists together must not ask together
+CROWDED = 0.92  # of the holding room: from here the longest queues are declined
+MARGIN_MS = 12.0  # ms before a bound at which the event is answered; two turns of the caller
+
+
+class RateLimiter:
+    """One due moment: a destination, or a route where routes are kept apart."""
+
+    def __init__(self, listed, nodes, sure, busy, longest):
+        self.due = self.blocked = self.changed = self.cut_at = self.pressed = -math.inf
+        self.named = self.even = self.fair = self.crowd = self.listed = None
+        self.busy, self.sure = busy, sure  # ms in which nodes share the rate; trust in the list
+        self.longest = longest  # ms for which an event may wait here
+        if listed:
+            self.hold_true(listed, nodes, sure)
+        self.rate = self.level = self.even  # None: unpaced until the first cut
+        self.acks, self.usual_rate = RecentCount(CLEAN_MS), SmoothedRate(USUAL_SPAN_MS)
+        self.latency, self.low = SlidingMedian(WINDOW, USUAL_MS), None
+        self.run, self.left, self.served = 0, 1.0, True  # served: an ack since the last cut
+        self.ride = (None, -math.inf, 0)  # call that others may join this turn
+        self.owed, self.out_since = (
+            0.0,
+            -math.inf,
+        )  # usual acked calls per ms at its last outage; its beginning
+        self.cold_due = -math.inf  # the next cold send
+
+    def hold_true(self, listed, nodes, sure):
+        """Calls per ms; a node's part among all (`fair`), those busy (`even`), those that wait (`crowd`)."""
+        self.listed, self.fair, self.sure = listed, listed / nodes, sure
+        self.even, self.crowd = self.among(self.busy, nodes), self.among(self.longest, nodes)
+
+    def among(self, span, nodes):
+        """The rate by the nodes that can be expected to have an event here within a span, at the limit."""
+        return self.listed / max(1.0, nodes * -math.expm1(-self.listed * span / nodes))
+
+    def ready_at(self):
+        return max(self.due - (BURST / self.level if self.rate else 0.0), self.blocked)
+
+    def book(self, now, cost):
+        if self.rate:
+            slot = self.due if 0 <= now - self.due <= SLACK_MS else max(now, self.due)
+            self.due = slot + cost / self.rate
+
+    def cut(self, now, refused):
+        if now - self.changed < CLEAN_MS:
+            return
+        if self.rate is None:
+            self.rate = self.level = max(LEAST_RATE / CUT, self.acks.count(now) / CLEAN_MS)
+            self.due = now + 1.0 / self.rate  # nothing was booked while it was unpaced
+        # Refusals lead to the even part, not below, unless nothing was served since: then the list is wrong.
+        due = self.fair * self.sure if self.even and self.served else LEAST_RATE / 4
+        if refused:
+            self.level = max(min(self.level, max(self.rate, due)) * LEVEL_KEPT, due)
+        rate, self.rate, self.changed, self.cut_at = self.rate, max(self.rate * CUT, due * CUT), now, now
+        self.served = False
+        self.due = max(now, self.due) + 1.0 / self.rate - 1.0 / rate  # what was booked is booked anew
+
+    def acked(self, now, latency, slow_everywhere):
+        self.run, self.served = 0, True
+        self.usual_rate.add(now)
+        self.acks.add(now)
+        if self.latency.add(latency):
+            self.low = min(self.latency.value, self.low * 1.03 if self.low else self.latency.value)
+            # Guards against a rise seen everywhere at once: that is not this destination's overload.
+            if self.risen() and not slow_everywhere():
+                self.cut(now, False)
+        if self.rate is not None and self.rate < self.level:
+            if now - self.changed >= CLEAN_MS:
+                self.rate, self.changed = min(self.level, self.rate / CUT), now
+        elif self.rate is not None and now - self.pressed < CLEAN_MS:
+            # Nobody knows an unlisted rate: it grows by a share of itself, faster the longer nothing was cut.
+            part = self.even or self.level * min(SEARCH_MOST, (now - self.cut_at) / SEARCH_MS)
+            step = GROW * self.left * part / (self.rate * 1000.0)
+            most = MOST_RATE * (self.listed or math.inf)
+            self.rate = self.level = max(self.rate, min(self.rate + step, most))
+
+    def quiet(self):
+        """Ms without an outcome after which calls out are more than slow."""
+        return max(QUIET_MS, QUIET_CALLS * self.latency.value)
+
+    def risen(self):
+        return self.low is not None and self.latency.value > max(RISEN * self.low, self.low + RISE_MS)
+
+
+class Endpoint:
+    """One endpoint of a destination, and how this node finds it."""
+
+    def __init__(self, ident, zone, destination, position):
+        self.endpoint_id, self.zone, self.destination = ident, zone, destination
+        # Each node ranks for itself: by one ranking many nodes of little traffic would all take the same.
+        self.rank = hashlib.blake2b(
+            f"{destination.number}/{ident}/{position}".encode(), digest_size=8
+        ).digest()
+        self.rate_limiter, self.is_ready, self.batch_size, self.carriage_cost = None, False, 1, 0.0
+        self.calls_in_flight, self.last_outcome_at, self.failure_ratio, self.consecutive_failures = (
+            0,
+            -math.inf,
+            0.0,
+            0,
+        )
+        self.is_down, self.is_silent, self.has_probe_in_flight, self.is_proved = False, False, False, False
+        self.failing_since, self.failed_at, self.acked_at = 0.0, -math.inf, -math.inf
+        self.warming_since, self.table_full_at = -math.inf, -math.inf
+        self.retry_at = -math.inf  # after a full table; an unpaced key has no other pause
+        self.ejected_until_by_stream_type = {}  # one entry a stream type, emptied by an ack
+
+
+class Router:
+    """The decisions of one delivery node."""
+
+    def __init__(self, settings: Settings, seed: int):
+        self.settings = settings
+        self.random_uniform = random.Random(seed).uniform
+        self.stream_types, self.node_count, self.node_position = (
+            list(settings.stream_types),
+            max(1, settings.node_count),
+            settings.node_position,
+        )
+        self.max_calls_in_flight, self.capacity, self.max_attempts = (
+            settings.max_calls_in_flight,
+            settings.max_pending_events * CROWDED,
+            settings.max_attempts,
+        )
+        utility = sum(s.priority_weight for s in self.stream_types)
+        self.busy = (
+            BUSY * sum(s.priority_weight * s.latency_objective_ms for s in self.stream_types) / utility
+            if utility
+            else 1000.0
+        )
+        self.fees = [
+            fee * utility / max(1, len(self.stream_types)) for fee in settings.carriage_cost_by_zone
+        ]  # utility units
+        self.has_rates = settings.listed_rates in ("nominal", "rough")
+        self.longest = max([s.max_age_ms for s in self.stream_types] or [1e3])
+        self.quota = [
+            [1000.0 * self.node_count / q if q else 0.0, 0.0] for q in settings.quotas
+        ]  # [interval, due]
+        self.most_advice = settings.max_retry_after_ms if settings.may_send_retry_after else 0.0
+        self.listing_at = 0.0 if settings.polls_discovery else math.inf
+        first = ASKED_PAUSE_MS if settings.polls_discovery else PUSHED_PAUSE_MS
+        # Asked within this time, a node does not count as told of what it has not heard.
+        most = settings.poll_within_ms / (1 + PAUSE_SPREAD) if settings.polls_discovery else 0.0
+        self.list_pause, self.list_pauses = first, (first, max(first, most))
+        self.sure = ROUGH_SURE if settings.listed_rates == "rough" else 1.0
+        self.warm_up, self.margin = max(1.0, settings.warm_up_ms), max(MARGIN_MS, 2 * settings.tick_ms)
+        # By number, as the list names them; endpoints leave when long gone.
+        self.destinations: dict = {}
+        self.endpoints: dict = {}
+        self.ordering_queues: dict = {}  # key -> [events in order taken, rest until]; emptied when over and rested
+        self.down_endpoints: dict = {}  # sinks that are down, in the order they went; emptied by an ack or the list
+        self.newly_idle: dict = {}  # endpoints whose last call out has ended; emptied each turn
+        self.connect, self.calls_in_flight, self.pending_count = AT_ONCE * settings.connect_timeout_ms, 0, 0
+
+    def add_event(self, now, stream_type_number, destination_number, left, tenant=None, subject=0):
+        """Hold an event. `tenant`: its place among the quotas; None is none of them."""
+        stream_type, destination = (
+            self.stream_types[stream_type_number],
+            self.destinations.setdefault(destination_number, Destination(destination_number)),
+        )
+        event = Event(
+            stream_type,
+            destination,
+            subject * stream_type.is_ordered,
+            now,
+            left,
+            self._weight(stream_type, tenant, now),
+        )
+        destination.pending_count += 1
+        self.pending_count += 1
+        if event.ordering_key:
+            for old in [s for s, (line, rest) in self.ordering_queues.items() if not line and rest <= now]:
+                del self.ordering_queues[old]
+            self.ordering_queues.setdefault(event.ordering_key, [deque(), -math.inf])[0].append(event)
+        return event
+
+    def _weight(self, stream_type, tenant, now):
+        if not self.quota:
+            return stream_type.priority_weight
+        # Who is no tenant has no share, least of all another's: all of it is beyond one.
+        share = self.quota[tenant] if tenant is not None and tenant < len(self.quota) else [0.0, math.inf]
+        if share[1] > now + 2000.0:  # over its share by two seconds of it: worth little
+            return stream_type.priority_weight * self.settings.over_quota_weight
+        share[1] = max(now, share[1]) + share[0] if share[0] else 0.0
+        return stream_type.priority_weight
+
+    def apply_endpoint_list(self, entries, whole, now):
+        named, grown, self.list_pause = set(), {}, self.list_pauses[0]
+        for ident, destination_number, zone, kind, rate, ready in entries:
+            destination, blocked = (
+                self.destinations.setdefault(destination_number, Destination(destination_number)),
+                -math.inf,
+            )
+            apart = bool(
+                kind < len(self.settings.separate_routes_by_kind)
+                and self.settings.separate_routes_by_kind[kind]
+            )
+            if (old := self.endpoints.get(ident)) and (
+                old.destination is not destination or old.has_separate_route != apart
+            ):
+                self._gone(
+                    self.endpoints.pop(ident)
+                )  # under its id it serves another now, or as another kind
+                self.down_endpoints.pop(old, None)
+                blocked = old.rate_limiter.blocked if old.destination is destination else blocked
+            if ident not in self.endpoints and not ready:
+                continue
+            if ident not in self.endpoints:
+                self.endpoints[ident] = Endpoint(ident, zone, destination, self.node_position)
+            endpoint = self.endpoints[ident]
+            named.add(ident)
+            listed = rate / 1000.0 if self.has_rates and rate > 0 else None
+            if endpoint.rate_limiter is None:
+                fresh = apart or not destination.rate_limiter
+                endpoint.rate_limiter = (
+                    RateLimiter(listed, self.node_count, self.sure, self.busy, self.longest)
+                    if fresh
+                    else destination.rate_limiter
+                )
+                destination.rate_limiter = destination.rate_limiter or endpoint.rate_limiter
+            elif listed and listed != endpoint.rate_limiter.named:
+                endpoint.rate_limiter.hold_true(listed, self.node_count, self.sure)
+            endpoint.rate_limiter.named = (
+                listed or endpoint.rate_limiter.named
+            )  # as the list names it, not as reports correct it
+            endpoint.rate_limiter.blocked = max(
+                endpoint.rate_limiter.blocked, blocked
+            )  # a told wait outlasts the change
+            endpoint.has_separate_route, endpoint.is_ready, endpoint.zone = (
+                apart,
+                ready,
+                zone,
+            )  # it may come back elsewhere
+            endpoint.batch_size = (
+                self.settings.batch_size_by_kind[kind] if kind < len(self.settings.batch_size_by_kind) else 1
+            )
+            endpoint.carriage_cost = self.fees[zone] if apart and zone < len(self.fees) else 0.0
+            if ready and endpoint not in destination.endpoints:
+                grown[destination] = destination.endpoints = destination.endpoints + [endpoint]
+        for destination in grown:
+            destination.endpoints.sort(key=lambda s: (s.carriage_cost, s.rank))
+        for endpoint in [
+            s for s in self.endpoints.values() if not s.is_ready or (whole and s.endpoint_id not in named)
+        ]:
+            self._gone(endpoint)
+            # One that comes back under its id within an outage or a told wait must find both still known.
+            known_until = max(endpoint.last_outcome_at + 2 * self.warm_up, endpoint.rate_limiter.blocked)
+            if not endpoint.calls_in_flight and not endpoint.has_probe_in_flight and now > known_until:
+                self.down_endpoints.pop(endpoint, None)
+                del self.endpoints[endpoint.endpoint_id]
+
+    @staticmethod
+    def _gone(endpoint):
+        endpoint.is_ready = False
+        if endpoint in endpoint.destination.endpoints:
+            endpoint.destination.endpoints.remove(endpoint)
+
+    def list_request_failed(self, now):
+        """When to ask again: exponential backoff where a call is a load on discovery shared by all nodes.
+        Repeated sooner than it can answer all, calls keep it turning them away or answering too late.
+        """
+        self.listing_at = now + self.list_pause * self.random_uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
+        self.list_pause = min(2 * self.list_pause, self.list_pauses[1])
+        return self.listing_at
+
+    def should_request_list(self, now):
+        if now < self.listing_at:
+            return False
+        self.listing_at = math.inf
+        return True
+
+    def withdraw(self, event, now):
+        self._end(event)
+
+    def sort_by_urgency(self, events, now):
+        spans = {
+            destination: self.ranking_horizon_ms(destination, now)
+            for destination in dict.fromkeys(event.destination for event in events)
+        }
+        return sorted(events, key=lambda event: self.urgency_rank(event, spans[event.destination], now))
+
+    def ranking_horizon_ms(self, destination, now):
+        """Ms by which the events of a destination are ranked: what its whole queue takes."""
+        return min(self.longest, max(1000.0, self.queue_drain_time_ms(destination, now)))
+
+    def urgency_rank(self, event, span, now):
+        """Events of lower rank are asked for first."""
+        return -self._urgency(event, span, now), event.latency_objective_at
+
+    def ordering_turn_at(self, event, now):
+        """When its subject's turn is this event's: `now`, later, or inf: after those before it."""
+        if not event.ordering_key:
+            return now
+        line, rest = self.ordering_queues[event.ordering_key]
+        if line[0] is not event:
+            return math.inf
+        return max(rest, now + 1.0) if rest > now and event.attempts == 0 else now
+
+    def queue_class(self, event):
+        """Events of one destination for which this is equal are told the same until one is sent."""
+        return event.stream_type, event.may_have_run_group if self._bound(event) else None
+
+    def has_joinable_call(self, destination, now):
+        """Whether a call of this turn takes others with it, though maybe not each event."""
+        return any(
+            endpoint.rate_limiter.ride[1] == now and endpoint.rate_limiter.ride[2] > 0
+            for endpoint in destination.endpoints
+        )
+
+    def all_slots_in_use(self):
+        return self.calls_in_flight >= self.max_calls_in_flight
+
+    def slots_are_scarce(self):
+        """Whether events may wait for a slot that a send of any destination holds."""
+        return self.calls_in_flight >= SCARCE * self.max_calls_in_flight
+
+    def is_over_capacity(self):
+        return self.pending_count > self.capacity
+
+    def decide(self, event, now):
+        """Send, Later, Decline or Discard."""
+        if (
+            self._spent(event, now)
+            or self.pending_count > self.capacity
+            and self._longest(event.destination)
+            and self.is_safe_to_reject(event)
+        ):
+            return self._give_up(event, now)
+        event.check_at, event.waits_for_outcome = self.give_up_at(event, now), False
+        if (turn_at := self.ordering_turn_at(event, now)) > now:
+            event.check_at, event.waits_for_outcome = min(event.check_at, turn_at), True
+            return Defer()
+        endpoint, moment, joins = self._pick(event, now)
+        if endpoint is None:
+            event.check_at, event.waits_for_outcome = min(event.check_at, moment), moment == math.inf
+            return Defer()
+        return self._send(event, endpoint, joins, now)
+
+    def send_deadline(self, event, endpoint, now):
+        """The moment by which the last byte of a send must have left; -inf when its first may not any more.
+        Guards what `where` weighed against the time until a connection is up.
+        """
+        if (
+            event.is_finished
+            or not endpoint.is_ready
+            or now < endpoint.rate_limiter.blocked
+            or not self._in_group(event, endpoint)
+        ):
+            return -math.inf
+        last = self.give_up_at(event, now)
+        return last if now < last else -math.inf
+
+    def record_outcome(
+        self, event, outcome, now, latency_ms, retry_after_ms=0.0, is_finished=False, load_report=None
+    ):
+        """What an outcome means for its event: None when it is over, else Later, Decline or Discard."""
+        call, endpoint, event.call, event.endpoint = event.call, event.endpoint, None, None
+        call.unresolved_count -= 1
+        event.attempts -= outcome == SendOutcome.NOT_SENT
+        if call.unresolved_count == 0:
+            self.calls_in_flight, endpoint.calls_in_flight, self.newly_idle[endpoint] = (
+                self.calls_in_flight - 1,
+                endpoint.calls_in_flight - 1,
+                True,
+            )
+            if (
+                outcome in (SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT)
+                and not call.is_recorded
+                and endpoint.rate_limiter.rate
+            ):
+                endpoint.rate_limiter.due -= (
+                    1.0 / endpoint.rate_limiter.rate
+                )  # nobody was called: its slot is the next one's
+        if (
+            retry_after_ms > 0 and outcome != SendOutcome.NOT_EXECUTED
+        ):  # each event of a call may be told a wait of its own
+            self._told(endpoint.rate_limiter, now + retry_after_ms + 1.0)
+            if outcome == SendOutcome.RATE_LIMITED and retry_after_ms > SHUT_MS and not endpoint.is_down:
+                self._lose(endpoint, now, True)
+        if outcome in (SendOutcome.FAILED, SendOutcome.TIMED_OUT, SendOutcome.RESET):
+            endpoint.ejected_until_by_stream_type[event.stream_type] = now + SHUN_MS
+        elif outcome == SendOutcome.ACKED:
+            endpoint.ejected_until_by_stream_type.pop(event.stream_type, None)
+        if not call.is_recorded:
+            call.is_recorded = outcome not in (
+                SendOutcome.CANCELLED,
+                SendOutcome.NOT_EXECUTED,
+                SendOutcome.NOT_SENT,
+            )  # nothing, of one that was not in it
+            self._learn(endpoint, outcome, now, latency_ms, load_report)
+        if outcome not in (SendOutcome.ACKED, *NEVER_RAN):
+            if event.may_have_run_at is None:
+                event.may_have_run_at, event.may_have_run_group = event.sent_at, event.sent_group
+            if event.ordering_key and outcome != SendOutcome.FAILED:
+                self.ordering_queues[event.ordering_key][1] = now + self.settings.ordering_rest_ms
+        if is_finished or event.is_finished:
+            self._end(event)
+            return None
+        event.check_at, event.waits_for_outcome = now, False
+        return self._give_up(event, now) if self._spent(event, now) else Defer()
+
+    def next_check(self, event, now):
+        return NextCheck(max(now, event.check_at), event.waits_for_outcome)
+
+    def endpoints_to_probe(self, now):
+        """Sinks to probe now: failing ones with events waiting, at the pace of trials."""
+        found = [
+            s
+            for s in self.down_endpoints
+            if self._wants_probe(s) and s.rate_limiter.cold_due <= now >= s.rate_limiter.blocked
+        ]
+        for endpoint in found:
+            endpoint.has_probe_in_flight, endpoint.rate_limiter.cold_due = (
+                True,
+                now + self._cold_pause(endpoint, now),
+            )
+        return found
+
+    def endpoints_to_disconnect(self, now):
+        """Sinks whose idle connections to close now. Guards a connection table that those of many nodes fill:
+        one that idles far longer than it is used is a place taken from others. Hurts where the next event
+        comes sooner than the last.
+        """
+        idle, self.newly_idle = self.newly_idle, {}
+        return [
+            s
+            for s in idle
+            if not s.calls_in_flight and (now - s.table_full_at < CROWDED_MS or self._idles(s, now))
+        ]
+
+    def _idles(self, endpoint, now):
+        """Whether a connection there would idle most of the time. Not while events wait; where no end of that
+        is told it may.
+        """
+        used = endpoint.rate_limiter.usual_rate.at(now) * max(endpoint.rate_limiter.latency.value, PLACE_MS)
+        return (
+            self.settings.keepalive_ms < math.inf and not endpoint.destination.pending_count and used <= USED
+        )
+
+    def _wants_probe(self, endpoint):
+        # Only a sink that went silent: elsewhere an event that is tried loses nothing.
+        return (
+            self.settings.may_send_health_checks
+            and endpoint.is_down
+            and endpoint.is_silent
+            and endpoint.is_ready
+            and endpoint.destination.pending_count > 0
+            and not (endpoint.is_proved or endpoint.has_probe_in_flight or endpoint.calls_in_flight)
+        )
+
+    def record_probe(self, ident, outcome, now, latency, report=None):
+        if endpoint := self.endpoints.get(ident):
+            endpoint.has_probe_in_flight, endpoint.is_proved = (
+                False,
+                endpoint.has_probe_in_flight and outcome == SendOutcome.ACKED,
+            )
+
+    def next_wakeup_at(self, now):
+        trials = [
+            max(s.rate_limiter.cold_due, s.rate_limiter.blocked)
+            for s in self.down_endpoints
+            if self._wants_probe(s)
+        ]
+        return min(m if m > now else math.inf for m in [self.listing_at, *trials])
+
+    def _urgency(self, event, span, now):
+        """The utility a ms that waiting for the queue (`span`) would cost, once late; less while the SLO time
+        is far. Guards an overload, where the oldest first would have all of them served too late.
+        """
+        late = max(now, event.latency_objective_at)
+        lost = (self._value(event, late) - self._value(event, max(now + span, late + 1000.0))) / span
+        return lost * math.exp(
+            min(0.0, now + span - 1000.0 - event.latency_objective_at)
+            / max(200.0, event.stream_type.latency_objective_ms)
+        )
+
+    def _value(self, event, at):
+        stream_type, late, worth = (
+            event.stream_type,
+            max(0.0, at - event.latency_objective_at),
+            event.priority_weight * (at <= event.expires_at),
+        )
+        if self.settings.halves_late_value:
+            return worth * max(
+                stream_type.late_weight, 0.5 ** (late / max(1.0, stream_type.latency_objective_ms))
+            )
+        part = min(1.0, late / max(1.0, stream_type.max_age_ms - stream_type.latency_objective_ms))
+        return worth * (1 - (1 - stream_type.late_weight) * part)
+
+    @staticmethod
+    def deduplication_group(event, endpoint):
+        """Which endpoints know a repeat of an event sent here, by what outlasts a process: those of its zone,
+        or this one alone where the group is none of the pages'.
+        """
+        return (
+            endpoint.zone
+            if event.stream_type.deduplication_group in ("all", "zone")
+            else endpoint.endpoint_id
+        )
+
+    @staticmethod
+    def _bound(event):
+        return (
+            event.may_have_run_at is not None
+            and event.stream_type.effect == Effect.DEDUPLICATED
+            and event.stream_type.deduplication_group != "all"
+        )
+
+    def _in_group(self, event, endpoint):
+        return not self._bound(event) or self.deduplication_group(event, endpoint) == event.may_have_run_group
+
+    def _pick(self, event, now):
+        """(sink, moment, joins a call): the sink to send to now, or None and when there may be one."""
+        rows = []
+        for endpoint in event.destination.endpoints:
+            if not self._in_group(event, endpoint):
+                continue
+            call, at, left = endpoint.rate_limiter.ride
+            if at == now and left > 0 and call.endpoint is endpoint and self._shares(event, endpoint, now):
+                return endpoint, now, True
+            rows.append((endpoint, self._moment(endpoint, now)))
+        # Guards a stream type that one endpoint fails while it takes others: endpoints that did not are asked
+        # first. Hurts where its failures are chance and the others have less room.
+        rows = [
+            row for row in rows if row[0].ejected_until_by_stream_type.get(event.stream_type, 0.0) <= now
+        ] or rows
+        if not event.destination.endpoints:
+            return None, now + 200.0, False
+        busy = sum(endpoint.calls_in_flight for endpoint in event.destination.endpoints)
+        if (
+            self.calls_in_flight >= self.max_calls_in_flight
+            or not rows
+            or self.calls_in_flight >= SCARCE * self.max_calls_in_flight
+            and busy * 2 >= self.calls_in_flight
+        ):
+            # The last keeps a destination that hangs from taking the slots of all others before it is quiet.
+            return None, math.inf, False
+        if rows[0][0].has_separate_route:
+            # All that wait here wait for the slot of a better route too: the queue's length says how long.
+            def worth(row):
+                queue = (
+                    event.destination.pending_count / row[0].rate_limiter.rate
+                    if row[1] > now and row[0].rate_limiter.rate
+                    else 0.0
+                )
+                start = max(row[1], now) + queue
+                return self._value(event, start + row[0].rate_limiter.latency.value) - row[
+                    0
+                ].carriage_cost, -start
+
+            best = max(rows, key=worth)
+            if best[1] > now:
+                if best[1] < math.inf and best[1] > best[0].rate_limiter.blocked:
+                    best[0].rate_limiter.pressed = now
+                return None, min(moment for _, moment in rows if moment > now), False
+            return best[0], now, False
+        ready, soonest = [s for s, moment in rows if moment <= now], min(moment for _, moment in rows)
+        if not ready:
+            if soonest < math.inf:
+                event.destination.rate_limiter.pressed = now
+            return None, soonest, False
+        tried = min((s.consecutive_failures for s in ready if s.is_down), default=0)
+        ready = [s for s in ready if not s.is_down or s.consecutive_failures == tried]
+        # The first in rank has enough with its part of the calls that the key keeps busy.
+        enough = max(
+            1.0,
+            (event.destination.rate_limiter.rate or 0.004)
+            * event.destination.rate_limiter.latency.value
+            / len(event.destination.endpoints),
+        )
+        return (
+            next((s for s in ready if s.calls_in_flight < enough), None)
+            or min(ready, key=lambda s: s.calls_in_flight),
+            now,
+            False,
+        )
+
+    def _moment(self, endpoint, now):
+        """When this sink may get a call: inf means after some outcome."""
+        key = endpoint.rate_limiter
+        if endpoint.is_down:
+            if (
+                endpoint.calls_in_flight
+                or endpoint.has_probe_in_flight
+                or (self.settings.may_send_health_checks and endpoint.is_silent and not endpoint.is_proved)
+            ):
+                return math.inf
+            return max(
+                now if endpoint.is_proved or not endpoint.consecutive_failures else key.cold_due,
+                key.ready_at(),
+            )
+        if endpoint.calls_in_flight and now - endpoint.last_outcome_at > key.quiet() * (
+            1 if endpoint.calls_in_flight > 1 else 2
+        ):
+            # Bookings never learn when calls end: a silent sink would take slot after slot.
+            return math.inf
+        cold = now - endpoint.warming_since < self.warm_up
+        return max(key.ready_at(), endpoint.retry_at, key.cold_due if cold else now)
+
+    def _send(self, event, endpoint, joins, now):
+        key = endpoint.rate_limiter
+        if joins:
+            call, cost = key.ride[0], RIDER
+            key.ride = (call, now, key.ride[2] - 1)
+        else:
+            call, cost = Call(endpoint), 1.0
+            alone = endpoint.is_down or not self._shares(event, endpoint, now)
+            key.ride = (call, now, 0 if alone else endpoint.batch_size - 1)
+            self.calls_in_flight += 1
+            endpoint.last_outcome_at = endpoint.last_outcome_at if endpoint.calls_in_flight else now
+            endpoint.calls_in_flight += 1
+        key.book(now, cost)
+        if endpoint.is_down or now - endpoint.warming_since < self.warm_up:
+            # The trial of an endpoint that has not failed itself waits for no moment, and puts none off.
+            booked = now if endpoint.is_down and not endpoint.is_proved else max(now, key.cold_due)
+            key.cold_due = booked + cost * self._cold_pause(endpoint, now)
+        call.unresolved_count += 1
+        event.call, event.endpoint, event.sent_at, event.attempts = call, endpoint, now, event.attempts + 1
+        event.sent_group = self.deduplication_group(event, endpoint)
+        return Send(endpoint, self._allow(event, endpoint, now))
+
+    def _cold_pause(self, endpoint, now):
+        """Guards a destination that is out or returns cold: this node's part of the fall budget, for trials,
+        probes and events: the mean of its usual share and an even one among the nodes that can have met the
+        outage. Both add up, however many nodes there are. Hurts where others leave theirs unused.
+        """
+        key, growth = endpoint.rate_limiter, (1 - self.settings.cold_capacity_share) / self.warm_up
+        present = self.settings.cold_capacity_share + (
+            0.0 if endpoint.is_down else growth * (now - endpoint.warming_since)
+        )
+        busy = max(key.busy, now - key.out_since)
+        share = key.among(busy, self.node_count) if key.listed else key.owed or LEAST_RATE
+        pause = 2.0 / (self.settings.overload_multiple * (key.owed + key.sure * share))  # were it warm
+        if endpoint.is_down or not growth:
+            return self.random_uniform(0.8, 1.2) * pause / present
+        # Over which a share that grows with the endpoint amounts to one call.
+        return self.random_uniform(0.8, 1.2) * (math.sqrt(present**2 + 2 * growth * pause) - present) / growth
+
+    def _shares(self, event, endpoint, now):
+        """Whether it may travel with others. Guards them: a call ends for all when the time of one of its
+        events is up, and one that has less left than a slow answer takes would break it off for the others.
+        Hurts near the end of many events, each of which takes a slot.
+        """
+        rest = self._rest(event, now)
+        return rest >= endpoint.rate_limiter.quiet() or self._allow(event, endpoint, now) < rest
+
+    def _rest(self, event, now):
+        """Ms for which an answer may be waited for: after that there must be time to tell the event's end."""
+        return event.expires_at - self.margin - now
+
+    def _allow(self, event, endpoint, now):
+        rest = self._rest(event, now)
+        if event.stream_type.effect == Effect.NON_IDEMPOTENT:
+            return max(1.0, rest)  # a time-out would only end it: nothing may follow
+        cold = 2.0 if now - endpoint.warming_since < self.warm_up else 1.0
+        allow = min(cold * (ALLOW_MS + ALLOW_CALLS * endpoint.rate_limiter.latency.value), ALLOW_MOST_MS)
+        most = (
+            ALLOW_REST * event.stream_type.deduplication_window_ms
+            if event.stream_type.effect == Effect.DEDUPLICATED
+            else max(ALLOW_MS, ALLOW_REST * rest)
+        )
+        return max(1.0, min(allow, most, rest))
+
+    def _learn(self, endpoint, outcome, now, latency, report):
+        key = endpoint.rate_limiter
+        if report:
+            limit = report.limit_per_s / 1000.0
+            key.left = report.spare_share if limit > 0 else 1.0
+            if limit > 0 and key.listed:  # it replaces the listed rate: noise smoothed, a fall at once
+                fresh = key.sure < 1.0 or limit < FELL * key.listed
+                key.hold_true(
+                    key.listed + (limit - key.listed) * (1.0 if fresh else SMOOTH), self.node_count, 1.0
+                )
+                key.rate = min(key.rate or math.inf, key.listed)
+        if outcome in (SendOutcome.CANCELLED, SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT):
+            return
+        endpoint.last_outcome_at = now
+        if (
+            outcome == SendOutcome.CONNECTION_LIMIT
+        ):  # neither its limit nor its health: it answered that its table is full
+            endpoint.table_full_at, endpoint.retry_at = now, now + TRY_MS * self.random_uniform(0.5, 1.5)
+            return
+        if outcome == SendOutcome.ACKED:
+            endpoint.acked_at, endpoint.consecutive_failures, endpoint.failure_ratio = (
+                now,
+                0,
+                endpoint.failure_ratio * (1 - SMOOTH),
+            )
+            if endpoint.is_down:
+                # It came back some time since the last failure: in the mean over all nodes, half way.
+                began = max(endpoint.failed_at, key.out_since, key.blocked)
+                endpoint.is_down, endpoint.is_silent, endpoint.warming_since = False, False, (began + now) / 2
+                self.down_endpoints.pop(endpoint, None)
+                endpoint.failure_ratio = min(endpoint.failure_ratio, MOSTLY_BAD / 2)
+                # The next call waits as it warms, no more as a trial.
+                key.cold_due = min(key.cold_due, now + self._cold_pause(endpoint, now))
+            key.acked(now, latency, self._slow_everywhere)
+            return
+        if outcome == SendOutcome.RATE_LIMITED and not endpoint.is_down:
+            key.cut(now, True)
+        elif outcome != SendOutcome.RATE_LIMITED:
+            # A connect that fails at once, maybe while others are answered, can be a full connection table.
+            if outcome == SendOutcome.UNREACHABLE and latency < self.connect:
+                endpoint.table_full_at = now
+                if endpoint.calls_in_flight and now - endpoint.acked_at < 1000.0:
+                    return
+            key.run, endpoint.failure_ratio = (
+                key.run + 1,
+                endpoint.failure_ratio + SMOOTH * (1 - endpoint.failure_ratio),
+            )
+        endpoint.consecutive_failures, endpoint.failing_since, endpoint.failed_at = (
+            endpoint.consecutive_failures + 1,
+            endpoint.failing_since if endpoint.consecutive_failures else now,
+            now,
+        )
+        endpoint.is_silent, endpoint.is_proved = outcome == SendOutcome.TIMED_OUT, False
+        if endpoint.is_down:
+            return
+        if (
+            endpoint.failure_ratio > MOSTLY_BAD
+            or endpoint.consecutive_failures >= ERROR_RUN
+            and outcome != SendOutcome.RATE_LIMITED
+            or endpoint.consecutive_failures > REFUSED_RUN
+            and outcome == SendOutcome.RATE_LIMITED
+            and now - endpoint.failing_since > SHUT_MS
+            or (
+                outcome == SendOutcome.TIMED_OUT
+                or outcome == SendOutcome.UNREACHABLE
+                and latency >= self.connect
+                or key.run >= ERROR_RUN
+                and outcome in (SendOutcome.UNREACHABLE, SendOutcome.FAILED)
+            )
+            and now - max(endpoint.acked_at, endpoint.warming_since + self.warm_up) > ALONE_MS
+        ):
+            # The last: a node of little traffic may see one call fail in all of an outage, and counts.
+            self._lose(endpoint, now, outcome == SendOutcome.RATE_LIMITED)
+        elif key.run >= ERROR_RUN and outcome != SendOutcome.RATE_LIMITED:
+            key.cut(now, False)
+
+    def _lose(self, endpoint, now, shut):
+        """Guards against an outage of the whole destination of which this node sees little: endpoints beside
+        it that long acked nothing get one trial, none when shut. Hurts where one endpoint alone is out.
+        """
+        if self.endpoints.get(endpoint.endpoint_id) is not endpoint:
+            return  # its call outlasted it: another is listed under its id, or none
+        key = endpoint.rate_limiter
+        beside = [s for s in endpoint.destination.endpoints if s.rate_limiter is key and s is not endpoint]
+        if not any(s.is_down or now - s.warming_since < self.warm_up for s in [endpoint, *beside]):
+            # It may have begun any time since the last ack, and it does not lessen the usual part.
+            key.out_since = max(now - self.warm_up, *(s.acked_at for s in [endpoint, *beside]))
+            key.owed = key.usual_rate.at(endpoint.failing_since if endpoint.consecutive_failures else now)
+        for other in beside:
+            if shut or other.acked_at < now - self.warm_up / 2:
+                other.is_down = self.down_endpoints[other] = True
+                other.consecutive_failures = max(other.consecutive_failures, int(shut))
+        endpoint.is_down = self.down_endpoints[endpoint] = True
+        pause = self._cold_pause(endpoint, now) * self.random_uniform(0.0, 1.0)
+        key.cold_due = max(now, key.blocked) + max(TRY_MS, pause)
+
+    def _told(self, key, until):
+        """The page: a told wait blocks the key to its end, and the due moment restarts there."""
+        if until > key.blocked:
+            key.blocked = until
+            if key.even and key.rate:
+                # All that were told come back together, and refused calls may use up the limit: its part
+                # among those that can have an event waiting here.
+                key.rate = min(key.rate, key.crowd * key.sure)
+            key.due = max(key.due, until + self.random_uniform(0.0, 1.0) / (key.rate or 0.004))
+
+    def _slow_everywhere(self):
+        known = [key for key in {s.rate_limiter for s in self.endpoints.values()} if key.low is not None]
+        return len(known) > 2 and sum(key.risen() for key in known) * 2 > len(known)
+
+    def _longest(self, destination):
+        return (
+            destination.pending_count * sum(1 for d in self.destinations.values() if d.pending_count)
+            > self.pending_count
+        )
+
+    def give_up_at(self, event, now):
+        """When it is given up at the latest."""
+        last = event.expires_at - self.margin
+        if event.may_have_run_at is not None and event.stream_type.effect == Effect.DEDUPLICATED:
+            last = min(last, event.may_have_run_at + event.stream_type.deduplication_window_ms - self.margin)
+        return last
+
+    def _spent(self, event, now):
+        return (
+            now >= self.give_up_at(event, now)
+            or event.attempts >= self.max_attempts
+            or event.may_have_run_at is not None
+            and event.stream_type.effect == Effect.NON_IDEMPOTENT
+        )
+
+    def is_safe_to_reject(self, event):
+        """Whether handing it back can do no harm."""
+        anywhere = (
+            event.stream_type.effect == Effect.DEDUPLICATED and event.stream_type.deduplication_group == "all"
+        )
+        return event.may_have_run_at is None or event.stream_type.effect == Effect.IDEMPOTENT or anywhere
+
+    def _give_up(self, event, now):
+        self._end(event)
+        return (
+            Reject(self.retry_after_ms(event.destination, now))
+            if self.is_safe_to_reject(event)
+            else Abandon()
+        )
+
+    def retry_after_ms(self, destination, now):
+        """Ms after which a client had best hand in again for a destination (None: unknown); 0: no advice."""
+        return min(
+            self.most_advice, max(500.0, self.queue_drain_time_ms(destination, now) if destination else 0.0)
+        )
+
+    def queue_drain_time_ms(self, destination, now):
+        """Ms until all events held for this destination could be sent, at the present rates."""
+        keys = dict.fromkeys(
+            [s.rate_limiter for s in destination.endpoints if not s.is_down]
+            or [s.rate_limiter for s in destination.endpoints]
+        )
+        rate = sum(key.rate or math.inf for key in keys)
+        return (
+            destination.pending_count / rate + max(0.0, min(key.blocked for key in keys) - now)
+            if keys
+            else math.inf
+        )
+
+    def _end(self, event):
+        if not event.is_finished:
+            event.is_finished = True
+            event.destination.pending_count -= 1
+            self.pending_count -= 1
+        if event.ordering_key and event.call is None and event in self.ordering_queues[event.ordering_key][0]:
+            self.ordering_queues[event.ordering_key][0].remove(event)
--- a/swiftthread/wire/door.py
+++ b/swiftthread/server/http_server.py
@@ -10,8 +10,8 @@
 from anyio.lowlevel import checkpoint
 from loguru import logger
 
-from swiftthread.store.ledger import Held
-from swiftthread.wire.line import Broken, Line
+from swiftthread.network.connection import Connection, ConnectionClosed
+from swiftthread.storage.write_ahead_log import PendingEvent
 
 MOST_BODY = 64 * 1024  # bytes, the page's
 MOST_HEAD = 16 * 1024  # bytes of a request's line and headers
@@ -42,7 +42,7 @@
 }
 
 
-class Bad(Exception):
+class BadRequest(Exception):
     """A request that is answered with this status; its connection ends."""
 
     def __init__(self, status):
@@ -50,14 +50,14 @@
         self.status = status
 
 
-class Outside:
+class WaitingConnection:
     """A connection whose request waits to be read."""
 
-    def __init__(self, line):
-        self.line, self.since, self.flag, self.gone = line, anyio.current_time(), anyio.Event(), False
+    def __init__(self, connection):
+        self.line, self.since, self.flag, self.gone = connection, anyio.current_time(), anyio.Event(), False
 
 
-class Door:
+class HttpServer:
     """Owner of the listener's connections. `take(held)` says whether the node takes an event on."""
 
     def __init__(self, take, streams, buffers, limits, wall, first_ms, request_ms, idle_ms, intake, ring):
@@ -80,7 +80,7 @@
         self.closing = False  # then each answer closes its connection
         # `ring` asks for a turn, in which `let_in` is called. Connections whose request waits to be read,
         # oldest first.
-        self.intake, self.ring, self.outside = intake, ring, deque()
+        self.intake, self.request_tick, self.waiting = intake, ring, deque()
 
     async def serve(self, listener, tasks):
         """Accept until cancelled, or the listener is closed."""
@@ -108,11 +108,11 @@
 
     def _accept(self, listener, tasks):
         sock, _ = listener.accept()
-        line = Line(
+        connection = Connection(
             sock, self.buffers, h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
-        ).stamp()
-        self.silent[line] = anyio.current_time()
-        tasks.start_soon(self._client, line)
+        ).enable_timestamps()
+        self.silent[connection] = anyio.current_time()
+        tasks.start_soon(self._client, connection)
 
     def _many(self):
         """Whether so many connections are kept that one more is not.
@@ -120,11 +120,11 @@
         Clients that ask once and stay would hold all that they may have open, and none of them could ask
         again.
         """
-        return len(self.clients) + len(self.strangers) >= self.limits.kept_clients
+        return len(self.clients) + len(self.strangers) >= self.limits.max_resting_clients
 
     async def _room(self):
         """Wait until one more connection may be held; those to come wait in the listener meanwhile."""
-        while sum(map(len, self.rooms)) >= self.limits.clients:
+        while sum(map(len, self.rooms)) >= self.limits.max_clients:
             if not self._close_one():
                 await anyio.sleep(0.01)
 
@@ -138,14 +138,14 @@
         last = math.inf if self.silent else 0.0
         for room, patience in zip(self.rooms, (0.0, SILENT_S, ASKING_S, 0.0, last), strict=True):
             ripe = anyio.current_time() - patience
-            for line, since in room.items():
+            for connection, since in room.items():
                 if since > ripe:
                     break
                 if room is self.leaving or room is self.asking:
-                    self._shut(line)
+                    self._shut(connection)
                     return True
-                if line.fresh():
-                    self._let_go(line)
+                if connection.is_untouched():
+                    self._let_go(connection)
                     return True
         return False
 
@@ -163,15 +163,17 @@
 
     def _let_rest_go(self, silent_since):
         """Let go all on which nothing has come; of those that never said anything, who connected by then."""
-        for line, since in self._between():
-            if line.fresh() and (since <= silent_since or line not in self.silent):
-                self._let_go(line)
+        for connection, since in self._between():
+            if connection.is_untouched() and (since <= silent_since or connection not in self.silent):
+                self._let_go(connection)
 
-    def owes(self):
+    def owes_answers(self):
         """Whether anybody waits for an answer: in a request, read or not."""
-        return bool(self.asking or self.outside) or not all(line.fresh() for line, _ in self._between())
+        return bool(self.asking or self.waiting) or not all(
+            connection.is_untouched() for connection, _ in self._between()
+        )
 
-    async def end(self, listener, tasks):
+    async def finish(self, listener, tasks):
         """The end of a stop: nobody else comes in, who has asked is answered, and all are let go.
 
         Guards what is still under way on a connection: a close over bytes that were not read is a reset,
@@ -187,102 +189,110 @@
         with anyio.move_on_after(END_S):
             while any(self.rooms):
                 self._let_rest_go(math.inf)
-                self.ring()  # who waits outside is let in by a turn
+                self.request_tick()  # who waits outside is let in by a turn
                 await anyio.sleep(0.005)
 
-    def _leave(self, line):
+    def _leave(self, connection):
         """Out of the room that it is in; False when it is in none, for it is closed."""
-        return any(room.pop(line, None) is not None for room in self.rooms)
+        return any(room.pop(connection, None) is not None for room in self.rooms)
 
-    def _to(self, room, line):
-        if not self._leave(line):
-            raise Broken(True)
-        room[line] = anyio.current_time()
+    def _to(self, room, connection):
+        if not self._leave(connection):
+            raise ConnectionClosed(True)
+        room[connection] = anyio.current_time()
 
-    def _shut(self, line):
-        if self._leave(line):
-            line.close()
+    def _shut(self, connection):
+        if self._leave(connection):
+            connection.close()
 
-    def _let_go(self, line):
+    def _let_go(self, connection):
         """Close a connection that rests: our side first.
 
         The client may have written a request meanwhile; that is not taken on, for its answer could not go any
         more, and the client may hand it in elsewhere.
         """
-        self._to(self.leaving, line)
-        line.shut_down()
+        self._to(self.leaving, connection)
+        connection.shutdown_write()
 
-    async def _client(self, line):
+    async def _client(self, connection):
         """All requests of one connection, one after the other."""
         first, room = True, self.strangers
         try:
             while True:
                 try:
-                    request, body, came_at = await self._request(line, first)
+                    request, body, came_at = await self._request(connection, first)
                     status, then, back_ms = self._handed_in(request, body, came_at)
                     room = self.clients if status == 202 else room
-                except Bad as bad:
-                    await self._answer(line, bad.status, True)
-                    self._to(self.leaving, line)
-                    await line.finish(FINISH_MS)
+                except BadRequest as bad:
+                    await self._answer(connection, bad.status, True)
+                    self._to(self.leaving, connection)
+                    await connection.shutdown_and_drain(FINISH_MS)
                     return
                 ends = self.closing or first and self._many()
                 first = False
                 try:
-                    await self._answer(line, status, ends, back_ms)
+                    await self._answer(connection, status, ends, back_ms)
                 finally:
                     if then is not None:  # it is taken, also when its client is gone
                         then()
-                if ends or line.parser.our_state is not h11.DONE or line.parser.their_state is not h11.DONE:
-                    self._to(self.leaving, line)
-                    await line.finish(LINGER_MS)
+                if (
+                    ends
+                    or connection.parser.our_state is not h11.DONE
+                    or connection.parser.their_state is not h11.DONE
+                ):
+                    self._to(self.leaving, connection)
+                    await connection.shutdown_and_drain(LINGER_MS)
                     return
-                line.parser.start_next_cycle()
-                self._to(room, line)
+                connection.parser.start_next_cycle()
+                self._to(room, connection)
                 await checkpoint()  # many requests sent at once on one connection take turns with the others
-        except Broken:  # gone, silent, or let go by us between requests
-            if line not in self.asking and any(line in room for room in self.rooms):
-                self._to(self.leaving, line)
-                await line.finish(LINGER_MS)
+        except ConnectionClosed:  # gone, silent, or let go by us between requests
+            if connection not in self.asking and any(connection in room for room in self.rooms):
+                self._to(self.leaving, connection)
+                await connection.shutdown_and_drain(LINGER_MS)
         except Exception:  # guards the other clients: a fault here ends this connection alone
             logger.exception("a client's connection failed")
         finally:
-            self._shut(line)
+            self._shut(connection)
 
-    async def _let_in(self, line):
+    async def _let_in(self, connection):
         """Wait until this connection's request may be read."""
-        if not self.outside and self.intake.takes():
+        if not self.waiting and self.intake.try_admit():
             return
-        waiting = Outside(line)
-        self.outside.append(waiting)
-        self.ring()
+        waiting = WaitingConnection(connection)
+        self.waiting.append(waiting)
+        self.request_tick()
         try:
             await waiting.flag.wait()
         finally:
             if not waiting.flag.is_set():
-                self.outside.remove(waiting)
+                self.waiting.remove(waiting)
         if waiting.gone:
-            raise Broken(True)
+            raise ConnectionClosed(True)
 
-    def let_in(self):
+    def admit_waiting(self):
         """A turn: as many as may be read.
 
         The longest outside first, but once that one's client is about to give up, the latest come first: else
         each would be read just too late. Who gave up goes without being read.
         """
         now = anyio.current_time()
-        while self.outside and now - self.outside[0].since > GIVES_UP_S and self.outside[0].line.left():
-            self._in(self.outside.popleft(), gone=True)
-        while self.outside and self.intake.takes():
-            late = now - self.outside[0].since > LATE_S
-            self._in(self.outside.pop() if late else self.outside.popleft())
+        while (
+            self.waiting
+            and now - self.waiting[0].since > GIVES_UP_S
+            and self.waiting[0].line.peer_has_closed()
+        ):
+            self._in(self.waiting.popleft(), gone=True)
+        while self.waiting and self.intake.try_admit():
+            late = now - self.waiting[0].since > LATE_S
+            self._in(self.waiting.pop() if late else self.waiting.popleft())
 
     @staticmethod
     def _in(waiting, gone=False):
         waiting.gone = gone
         waiting.flag.set()
 
-    async def _request(self, line, first):
+    async def _request(self, connection, first):
         """The next request, its body, and the Unix ms at which it began to come.
 
         Bad when it is none, Broken when none comes.
@@ -290,40 +300,40 @@
         request, body, came_at = None, bytearray(), None
         with anyio.move_on_after((self.first if first else self.idle) / 1000.0) as patience:
             while True:
-                if line not in self.asking and line.parser.trailing_data[0]:
-                    self._to(self.asking, line)  # it has begun
-                    came_at = line.came_at
+                if connection not in self.asking and connection.parser.trailing_data[0]:
+                    self._to(self.asking, connection)  # it has begun
+                    came_at = connection.received_at
                     until = anyio.current_time() + self.request / 1000.0
                     patience.deadline = min(until, patience.deadline) if first else until
                 try:
-                    part = line.parser.next_event()
+                    part = connection.parser.next_event()
                 except h11.RemoteProtocolError as fault:
-                    raise Bad(fault.error_status_hint) from None
+                    raise BadRequest(fault.error_status_hint) from None
                 if part is h11.NEED_DATA:
-                    if line.parser.they_are_waiting_for_100_continue:
-                        await line.write(
-                            line.parser.send(h11.InformationalResponse(status_code=100, headers=[]))
+                    if connection.parser.they_are_waiting_for_100_continue:
+                        await connection.write(
+                            connection.parser.send(h11.InformationalResponse(status_code=100, headers=[]))
                         )
-                    await line.comes()
-                    if line not in self.asking:
-                        await self._let_in(line)
-                    line.read_now()
+                    await connection.wait_until_readable()
+                    if connection not in self.asking:
+                        await self._let_in(connection)
+                    connection.read_available()
                 elif isinstance(part, h11.Request):
                     request = part
                     self._check(part)
                 elif isinstance(part, h11.Data):
                     body += part.data
                     if len(body) > MOST_BODY:
-                        raise Bad(413)
+                        raise BadRequest(413)
                 elif isinstance(part, h11.EndOfMessage):
                     return request, bytes(body), came_at or self.wall()
                 else:
-                    raise Broken(True)
-        if line in self.asking:
-            raise Bad(408)
-        if line.fresh() or not line.read_now():
-            raise Broken(True)
-        return await self._request(line, first)  # it crossed the end of our patience
+                    raise ConnectionClosed(True)
+        if connection in self.asking:
+            raise BadRequest(408)
+        if connection.is_untouched() or not connection.read_available():
+            raise ConnectionClosed(True)
+        return await self._request(connection, first)  # it crossed the end of our patience
 
     @staticmethod
     def _check(request):
@@ -331,13 +341,13 @@
         names = [name for name, _ in request.headers]
         length = max([int(value) for name, value in request.headers if name == b"content-length"], default=0)
         if length > MOST_BODY:
-            raise Bad(413)
+            raise BadRequest(413)
         if (
             b"content-length" in names
             and b"transfer-encoding" in names
             or any(names.count(n) > 1 for n in ONCE)
         ):
-            raise Bad(400)
+            raise BadRequest(400)
 
     def _handed_in(self, request, body, came_at):
         """(status, what to do once it is answered, ms after which to come back).
@@ -349,48 +359,48 @@
         if request.method == b"GET" and path == "/_health":
             return 503 if self.closing else 200, None, 0.0
         if request.method != b"POST":
-            raise Bad(404)
+            raise BadRequest(404)
         headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in request.headers}
         stream, _, subject = path.lstrip("/").partition("/")
         ident, key = headers.get("x-txn", ""), headers.get("idempotency-key", "")
-        left, dest = (
+        left, destination = (
             REMAINING.fullmatch(headers.get("x-remaining", "")),
             DEST.search(headers.get("x-route-to", "")),
         )
         if stream not in self.streams:
-            raise Bad(404)
+            raise BadRequest(404)
         if (
             headers.get("x-lane", stream) != stream
             or not TOKEN.fullmatch(ident)
-            or not (left and dest)
+            or not (left and destination)
             or key
             and not TOKEN.fullmatch(key)
         ):
-            raise Bad(400)
+            raise BadRequest(400)
         left_ms = float(left[1]) / (1.0 if left[2] == "m" else 1000.0)
         subject = subject or headers.get("x-entity", "")
-        held = Held(
+        pending = PendingEvent(
             ident,
             key,
             stream,
-            int(dest[1]),
+            int(destination[1]),
             came_at + left_ms,
             headers.get("x-org"),
             zlib.crc32(subject.encode("latin-1")) + 1 if subject else 0,
             body,
         )
-        status, then, back_ms = self.take(held)
+        status, then, back_ms = self.take(pending)
         if status in (400, 409):
-            raise Bad(status)
+            raise BadRequest(status)
         return status, then, back_ms
 
-    async def _answer(self, line, status, closes, back_ms=0.0):
+    async def _answer(self, connection, status, closes, back_ms=0.0):
         headers = [("Content-Length", "0")] + ([("Connection", "close")] if closes else [])
         if back_ms:
             headers.append(("Retry-After", f"{back_ms / 1000.0:.3f}"))
         response = h11.Response(status_code=status, headers=headers, reason=REASONS.get(status, b""))
         try:
-            parts = [line.parser.send(response), line.parser.send(h11.EndOfMessage())]
+            parts = [connection.parser.send(response), connection.parser.send(h11.EndOfMessage())]
         except h11.LocalProtocolError:
-            raise Broken(True) from None
-        await line.write(*parts)
+            raise ConnectionClosed(True) from None
+        await connection.write(*parts)
--- a/swiftthread/service/__init__.py
+++ b/swiftthread/service/__init__.py
@@ -1,1 +1,1 @@
-"""Start, stop, turns and limits of a node. It decides nothing."""
+"""Composition of a node: start, scheduling, the life of an event, reload and shutdown."""
--- a/swiftthread/service/choices.py
+++ b/swiftthread/service/admission.py
@@ -16,20 +16,22 @@
 SHARE = 0.9  # x the events that moved in a turn: somewhat less comes in than goes out, so that queues empty
 
 
-class Intake:
+class AdmissionController:
     """How many requests may be read until the next turn."""
 
     def __init__(self, gap_ms):
-        self.gap, self.late, self.left = gap_ms, 0.0, math.inf
+        self.tick_ms, self.mean_delay_ms, self.remaining = gap_ms, 0.0, math.inf
 
-    def turn(self, late_ms, moved):
+    def record_tick(self, late_ms, moved):
         """A turn came so late, and so many events moved in it."""
-        self.late += SMOOTH * (late_ms - self.late)
-        self.left = max(LEAST, SHARE * moved) if self.late > BEHIND_GAPS * self.gap else math.inf
+        self.mean_delay_ms += SMOOTH * (late_ms - self.mean_delay_ms)
+        self.remaining = (
+            max(LEAST, SHARE * moved) if self.mean_delay_ms > BEHIND_GAPS * self.tick_ms else math.inf
+        )
 
-    def takes(self):
+    def try_admit(self):
         """Whether one more may be read now; if so it is counted."""
-        if self.left < 1:
+        if self.remaining < 1:
             return False
-        self.left -= 1
+        self.remaining -= 1
         return True
--- a/swiftthread/service/limits.py
+++ b/swiftthread/service/limits.py
@@ -33,13 +33,13 @@
     def __init__(self, told, slots, keepalive_ms, connect_ms):
         sockets = int(told.get("sockets") or 1024)
         slots = int(slots) if slots and slots < sockets else sockets // 4
-        self.idle_lines = max(4, int(IDLE_SHARE * sockets) - slots)
-        self.clients = max(4, sockets - RESERVED_SOCKETS - self.idle_lines - 2 * slots)
+        self.max_idle_connections = max(4, int(IDLE_SHARE * sockets) - slots)
+        self.max_clients = max(4, sockets - RESERVED_SOCKETS - self.max_idle_connections - 2 * slots)
         self.backlog = max(LEAST_BACKLOG, sockets)
-        self.kept_clients = max(4, int(KEPT_SHARE * sockets))
-        self.disk = int(float(told.get("disk_mb") or 3) * DISK_MB)
+        self.max_resting_clients = max(4, int(KEPT_SHARE * sockets))
+        self.disk_bytes = int(float(told.get("disk_mb") or 3) * DISK_MB)
         # An idle connection is closed by the endpoint at its time or before: ours ends a fifth earlier.
-        self.most_idle = 0.8 * min(keepalive_ms, 60000.0)
-        self.connect = connect_ms or 1500.0
+        self.max_idle_ms = 0.8 * min(keepalive_ms, 60000.0)
+        self.connect_timeout_ms = connect_ms or 1500.0
         # Events are held in memory with their bodies; an eighth of it is enough beside the interpreter.
-        self.held_bytes = int(float(told.get("memory_mb") or 192) * MIB / 8)
+        self.max_pending_bytes = int(float(told.get("memory_mb") or 192) * MIB / 8)
--- a/swiftthread/service/node.py
+++ b/swiftthread/service/node.py
@@ -5,135 +5,184 @@
 import anyio
 from loguru import logger
 
-from swiftthread import plain
-from swiftthread.choice import Dispatcher
+from swiftthread.client.endpoint_client import SendResult
+from swiftthread.routing.messages import NEVER_RAN, Abandon, Defer, Reject, Send, SendOutcome
+from swiftthread.routing.router import Router
 from swiftthread.service import limits as bounds
-from swiftthread.service.choices import Intake
-from swiftthread.wire.courier import End
+from swiftthread.service.admission import AdmissionController
 
-OUTCOMES = {plain.Decline: "handed_back", plain.Discard: "given_up"}
+DEFAULT_MAX_PENDING_EVENTS = 10000
+OUTCOMES = {Reject: "handed_back", Abandon: "given_up"}
+
+
+def _max_pending_events(settings):
+    """Events that may be pending at once; where the settings name no bound, a default."""
+    bound = settings.max_pending_events
+    return bound if bound and bound < math.inf else DEFAULT_MAX_PENDING_EVENTS
 
 
 class Node:
     """Joins the decisions to the log, the turns and what is spoken."""
 
-    def __init__(self, seed, terms, streams, tenants, turns_of, ledger, clock, wall, limits, tasks):
-        self.module = Dispatcher(seed, **terms)
-        self.turns, self.ledger, self.streams, self.limits = turns_of(self.module), ledger, streams, limits
-        self.tenants = tenants
+    def __init__(
+        self,
+        seed,
+        settings,
+        stream_type_numbers,
+        tenant_numbers,
+        scheduler_for,
+        log,
+        clock,
+        wall,
+        limits,
+        tasks,
+    ):
+        self.router = Router(settings, seed)
+        self.scheduler, self.log, self.stream_type_numbers, self.limits = (
+            scheduler_for(self.router),
+            log,
+            stream_type_numbers,
+            limits,
+        )
+        self.tenant_numbers = tenant_numbers
         self.clock, self.wall, self.tasks = clock, wall, tasks
-        self.room, self.max_ages = (
-            terms.get("room") or 10000,
-            [stream.max_age_ms for stream in terms["streams"]],
+        self.max_pending_events, self.max_ages = (
+            _max_pending_events(settings),
+            [stream_type.max_age_ms for stream_type in settings.stream_types],
         )
         self.held_bytes, self.stopping, self.sends_until = 0, False, math.inf  # the last: the module's clock
-        self.intake = Intake(self.turns.gap)
-        self.courier = self.notices = self.door = None  # joined by the start, once the lists are known
+        self.admission = AdmissionController(self.scheduler.tick_ms)
+        self.endpoint_client = self.notifier = self.server = (
+            None  # joined by the start, once the lists are known
+        )
 
-    def take(self, held):
+    def admit(self, pending):
         """The door asks: (status, what to do once it is answered, ms after which to come back).
 
         In the log before it is said to be taken.
         """
-        if (same := self.ledger.known(held)) is not None:
+        if (same := self.log.matches_known_event(pending)) is not None:
             # Sent once more by its client; or another's under one id, which no answer of ours could tell
             # apart.
             return 202 if same else 409, None, 0.0
-        now, most = self.wall(), self.max_ages[self.streams[held.stream]]
-        if not now < held.ends_at <= now + 2 * most:
+        now, most = self.wall(), self.max_ages[self.stream_type_numbers[pending.stream_type]]
+        if not now < pending.expires_at <= now + 2 * most:
             return 400, None, 0.0
-        held.ends_at = min(held.ends_at, now + most)
-        full = len(self.ledger.held) >= self.room or self.held_bytes + len(held.body) > self.limits.held_bytes
+        pending.expires_at = min(pending.expires_at, now + most)
+        full = (
+            len(self.log.pending) >= self.max_pending_events
+            or self.held_bytes + len(pending.body) > self.limits.max_pending_bytes
+        )
         # A destination that no list has named yet may be told of later: the list comes seconds late.
-        dest, at = self.module.dests.get(held.dest), self.clock()
-        full = full or dest is None or at + self.module.queue(dest, at) > self.sends_until
-        if self.stopping or full or not self.ledger.taken(held):
-            return 503, None, self.module.come_back(dest, at)
-        self.begin(held)
-        return 202, lambda: self.tasks.start_soon(self.life, held), 0.0
-
-    def begin(self, held):
+        destination, at = self.router.destinations.get(pending.destination), self.clock()
+        full = (
+            full
+            or destination is None
+            or at + self.router.queue_drain_time_ms(destination, at) > self.sends_until
+        )
+        if self.stopping or full or not self.log.append_taken(pending):
+            return 503, None, self.router.retry_after_ms(destination, at)
+        self.add_to_router(pending)
+        return 202, lambda: self.tasks.start_soon(self.run_event, pending), 0.0
+
+    def add_to_router(self, pending):
         """Hand an event to the module, with what the log knows of its sends."""
         now, wall = self.clock(), self.wall()
-        if self.tenants and held.tenant not in self.tenants:
+        if self.tenant_numbers and pending.tenant not in self.tenant_numbers:
             logger.warning(
-                "{}: tenant {!r} is none of the settings'; it has no share", held.ident, held.tenant
+                "{}: tenant {!r} is none of the settings'; it has no share", pending.event_id, pending.tenant
             )
-        evt = held.evt = self.module.take(
+        event = pending.event = self.router.add_event(
             now,
-            self.streams[held.stream],
-            held.dest,
-            held.ends_at - wall,
-            self.tenants.get(held.tenant),
-            held.subject,
+            self.stream_type_numbers[pending.stream_type],
+            pending.destination,
+            pending.expires_at - wall,
+            self.tenant_numbers.get(pending.tenant),
+            pending.ordering_key,
         )
-        evt.ticket, evt.sends = held, held.sends
-        if held.maybe is not None:
+        event.handle, event.attempts = pending, pending.attempts
+        if pending.may_have_run is not None:
             # The wall clock may have been set back meanwhile: a send cannot be ahead of us.
-            evt.maybe_at, evt.maybe_group = now - max(0.0, wall - held.maybe[0]), held.maybe[1]
-        self.held_bytes += len(held.body)
+            event.may_have_run_at, event.may_have_run_group = (
+                now - max(0.0, wall - pending.may_have_run[0]),
+                pending.may_have_run[1],
+            )
+        self.held_bytes += len(pending.body)
 
-    def resume(self):
+    def resume_pending(self):
         """What the log says is still owed."""
-        for held in list(self.ledger.held.values()):
-            if held.stream not in self.streams:
+        for pending in list(self.log.pending.values()):
+            if pending.stream_type not in self.stream_type_numbers:
                 logger.error(
-                    "{} is owed, but of a stream type that is no more: {}; it ends", held.ident, held.stream
+                    "{} is owed, but of a stream type that is no more: {}; it ends",
+                    pending.event_id,
+                    pending.stream_type,
                 )
-                what = plain.Discard if held.maybe else plain.Decline  # what surely never ran may come again
-                self.tasks.start_soon(self.tell, held, OUTCOMES[what], 0.0)
+                what = Abandon if pending.may_have_run else Reject  # what surely never ran may come again
+                self.tasks.start_soon(self.notify_decision, pending, OUTCOMES[what], 0.0)
                 continue
-            self.begin(held)
-            if held.decision is not None:
-                self.module.withdrawn(held.evt, self.clock())
-            self.tasks.start_soon(self.life, held)
+            self.add_to_router(pending)
+            if pending.decision is not None:
+                self.router.withdraw(pending.event, self.clock())
+            self.tasks.start_soon(self.run_event, pending)
 
-    async def life(self, held):
+    async def run_event(self, pending):
         """An event, from the moment that its client has heard of it to its end."""
         try:
-            await self.deliver(held)
+            await self.deliver(pending)
         except (
             Exception
         ):  # guards the other events: a fault ends this one alone, and nothing is promised of it
             logger.exception("the life of an event failed; it is given up")
-            self.module.withdrawn(held.evt, self.clock())
-            held.decision = (OUTCOMES[plain.Discard], 0.0)
-        self.turns.over(held.evt)
-        if held.decision is not None:
-            await self.tell(held, *held.decision)
+            self.router.withdraw(pending.event, self.clock())
+            pending.decision = (OUTCOMES[Abandon], 0.0)
+        self.scheduler.remove(pending.event)
+        if pending.decision is not None:
+            await self.notify_decision(pending, *pending.decision)
         else:
-            self.ledger.ended(held)
-        self.held_bytes -= len(held.body)
+            self.log.append_ended(pending)
+        self.held_bytes -= len(pending.body)
 
-    async def tell(self, held, outcome, come_back_ms):
+    async def notify_decision(self, pending, outcome, retry_after_ms):
         """Tell the platform of a decision once it is in the log, or the event's time is up.
 
         A process that comes back and knows nothing of it would send an event that its client has handed in
         elsewhere.
         """
-        while not self.ledger.decided(held, outcome, come_back_ms) and self.wall() < held.ends_at:
+        while (
+            not self.log.append_decision(pending, outcome, retry_after_ms)
+            and self.wall() < pending.expires_at
+        ):
             await anyio.sleep(bounds.LOG_PAUSE_MS / 1000.0)
-        await self.notices.tell(held.ident, outcome, come_back_ms)
-        self.ledger.ended(held)
+        await self.notifier.notify(pending.event_id, outcome, retry_after_ms)
+        self.log.append_ended(pending)
 
-    async def deliver(self, held):
+    async def deliver(self, pending):
         """Ask, send, learn, until it is over or a decision is in the log."""
-        evt = held.evt
-        while held.decision is None:
-            now, answer = await self.turns.ask(evt)
-            if isinstance(answer, plain.Send):
-                noted = self.ledger.sent(held, evt.sent_group)
-                end = await self.courier.carry(held, answer) if noted else await self.kept()
-                now = await self.turns.tell()
-                answer = self.module.after(evt, end.outcome, now, end.latency, end.told, end.over, end.report)
-                self.turns.learnt(evt.dest)
+        event = pending.event
+        while pending.decision is None:
+            now, answer = await self.scheduler.wait_for_decision(event)
+            if isinstance(answer, Send):
+                noted = self.log.append_sent(pending, event.sent_group)
+                end = await self.endpoint_client.send(pending, answer) if noted else await self.kept()
+                now = await self.scheduler.wait_for_tick()
+                answer = self.router.record_outcome(
+                    event,
+                    end.outcome,
+                    now,
+                    end.latency_ms,
+                    end.retry_after_ms,
+                    end.is_finished,
+                    end.load_report,
+                )
+                self.scheduler.wake(event.destination)
                 # Where it is not noted, an earlier send is what the log has as out.
-                if noted and end.outcome in plain.NEVER_RAN:
-                    self.ledger.never_ran(held)
-                if end.over:
+                if noted and end.outcome in NEVER_RAN:
+                    self.log.append_never_ran(pending)
+                if end.is_finished:
                     break
-            if not isinstance(answer, plain.Later):
-                held.decision = OUTCOMES[type(answer)], getattr(answer, "come_back_ms", 0.0)
+            if not isinstance(answer, Defer):
+                pending.decision = OUTCOMES[type(answer)], getattr(answer, "retry_after_ms", 0.0)
 
     @staticmethod
     async def kept():
@@ -142,39 +191,39 @@
         Not at once, or a full disk would be asked all the time.
         """
         await anyio.sleep(bounds.LOG_PAUSE_MS / 1000.0)
-        return End(plain.KEPT, 0.0)
+        return SendResult(SendOutcome.NOT_SENT, 0.0)
 
-    def each_turn(self, now, moved, late):
+    def on_tick(self, now, moved, late):
         """What a turn leads to besides events.
 
         Calls leave, clients are let in, probes, idle connections, the list.
         """
-        self.courier.leave()
-        self.intake.turn(late, moved)
-        self.door.let_in()
-        for sink in self.module.probes(now):
-            self.tasks.start_soon(self.probe, sink)
-        for sink in self.module.closes(now):
-            self.courier.close_idle(sink)
-
-    async def probe(self, sink):
+        self.endpoint_client.start_batches()
+        self.admission.record_tick(late, moved)
+        self.server.admit_waiting()
+        for endpoint in self.router.endpoints_to_probe(now):
+            self.tasks.start_soon(self.check_health, endpoint)
+        for endpoint in self.router.endpoints_to_disconnect(now):
+            self.endpoint_client.close_idle_connections(endpoint)
+
+    async def check_health(self, endpoint):
         """Send one health probe and hand its outcome to the decisions."""
-        end = await self.courier.probe(sink)
-        now = await self.turns.tell()
-        self.module.probed(sink.ident, end.outcome, now, end.latency, end.report)
-        self.turns.learnt(sink.dest)
+        end = await self.endpoint_client.check_health(endpoint)
+        now = await self.scheduler.wait_for_tick()
+        self.router.record_probe(endpoint.endpoint_id, end.outcome, now, end.latency_ms, end.load_report)
+        self.scheduler.wake(endpoint.destination)
 
-    async def listed(self, entries, whole):
+    async def apply_endpoint_list(self, entries, whole):
         """Hand a list of endpoints to the decisions."""
-        now = await self.turns.tell()
-        self.module.listed(entries, whole, now)
-        self.turns.learnt()
+        now = await self.scheduler.wait_for_tick()
+        self.router.apply_endpoint_list(entries, whole, now)
+        self.scheduler.wake()
 
-    async def follow(self, registry):
+    async def follow_discovery(self, discovery):
         """Keep a watch open; when it ends, the module says when to ask again."""
         while True:
-            if not await registry.watch(self.listed):
+            if not await discovery.watch(self.apply_endpoint_list):
                 continue
-            again_at = self.module.list_failed(self.clock())
-            while not self.module.wants_list(now := self.clock()):
+            again_at = self.router.list_request_failed(self.clock())
+            while not self.router.should_request_list(now := self.clock()):
                 await anyio.sleep((again_at - now) / 1000.0)
--- a/swiftthread/service/turns.py
+++ b/swiftthread/service/scheduler.py
@@ -6,10 +6,10 @@
 from anyio.lowlevel import checkpoint
 from loguru import logger
 
-from swiftthread.queues import Queues
+from swiftthread.service.pending_queues import PendingQueues
 
 
-class Turn:
+class TickWaiter:
     """One wait for a turn; it comes with its moment and what the module said."""
 
     __slots__ = ("begun", "said")
@@ -30,45 +30,45 @@
         self.begun.set()
 
 
-class Turns:
+class Scheduler:
     """Owner of the timers of all events."""
 
-    def __init__(self, module, clock, gap_ms):
-        self.module, self.clock, self.gap, self.queues = module, clock, gap_ms, Queues(module)
-        self.heard = []  # those with something to tell; emptied each turn
-        self.asked = {}  # waiting event -> its turn; emptied as they move
-        self.bell, self.rung, self.sleeps_until = anyio.Event(), False, -math.inf
-        self.sending = True  # set to False by the stop: outcomes are still heard, no event is asked for
+    def __init__(self, router, clock, gap_ms):
+        self.router, self.clock, self.tick_ms, self.queues = router, clock, gap_ms, PendingQueues(router)
+        self.tick_waiters = []  # those with something to tell; emptied each turn
+        self.decision_waiters = {}  # waiting event -> its turn; emptied as they move
+        self.wakeup, self.tick_requested, self.sleeps_until = anyio.Event(), False, -math.inf
+        self.is_sending = True  # set to False by the stop: outcomes are still heard, no event is asked for
 
-    async def tell(self):
+    async def wait_for_tick(self):
         """Wait for the beginning of a turn, to tell the module what was learnt; its moment."""
-        turn = Turn()
-        self.heard.append(turn)
-        self.bell.set()
-        return (await turn.come())[0]
+        waiter = TickWaiter()
+        self.tick_waiters.append(waiter)
+        self.wakeup.set()
+        return (await waiter.come())[0]
 
-    async def ask(self, evt):
+    async def wait_for_decision(self, event):
         """Wait until the event moves: (the moment, a send, a decline or a discard)."""
-        turn = self.asked[evt] = Turn()
+        waiter = self.decision_waiters[event] = TickWaiter()
         now = self.clock()
-        self.queues.add(evt, now)
-        if self.queues.next_moment() < self.sleeps_until:
-            self.bell.set()
-        return await turn.come()
+        self.queues.add(event, now)
+        if self.queues.next_wakeup_at() < self.sleeps_until:
+            self.wakeup.set()
+        return await waiter.come()
 
-    def ring(self):
+    def request_tick(self):
         """A turn is wanted, whatever there is to ask."""
-        self.rung = True
-        self.bell.set()
+        self.tick_requested = True
+        self.wakeup.set()
 
-    def learnt(self, dest=None):
+    def wake(self, destination=None):
         """The module was told of an outcome at a destination, or of a list (None)."""
-        self.queues.stir(dest)
+        self.queues.wake(destination)
 
-    def over(self, evt):
+    def remove(self, event):
         """An event has ended."""
-        self.queues.left(evt)
-        self.asked.pop(evt, None)
+        self.queues.remove(event)
+        self.decision_waiters.pop(event, None)
 
     async def run(self, once_asked):
         """Give turns until cancelled.
@@ -85,36 +85,38 @@
                 once_asked(now, moved, late)
             except Exception:  # guards the node: the next turn asks all again
                 logger.exception("a turn failed")
-                self.queues.stir()
+                self.queues.wake()
             begun = self.clock()
-            await anyio.sleep(self.gap / 1000.0)
-            late = self.clock() - begun - self.gap
+            await anyio.sleep(self.tick_ms / 1000.0)
+            late = self.clock() - begun - self.tick_ms
 
     async def _sleep(self):
-        self.bell, now = anyio.Event(), self.clock()
-        until = min(self.queues.next_moment(), self.module.next_moment(now))
-        if self.heard or self.rung or until <= now and self.sending:
-            self.rung = False
+        self.wakeup, now = anyio.Event(), self.clock()
+        until = min(self.queues.next_wakeup_at(), self.router.next_wakeup_at(now))
+        if self.tick_waiters or self.tick_requested or until <= now and self.is_sending:
+            self.tick_requested = False
             return
         self.sleeps_until = until
-        with anyio.move_on_after((until - now) / 1000.0 if until < math.inf and self.sending else None):
-            await self.bell.wait()
+        with anyio.move_on_after((until - now) / 1000.0 if until < math.inf and self.is_sending else None):
+            await self.wakeup.wait()
         self.sleeps_until = -math.inf
 
     async def _turn(self, now):
-        heard, self.heard = self.heard, []
-        for turn in heard:
-            turn.begin(now)
+        heard, self.tick_waiters = self.tick_waiters, []
+        for waiter in heard:
+            waiter.begin(now)
         if heard:
             await checkpoint()  # they run up to their next wait
-        if not self.sending:
+        if not self.is_sending:
             return 0
-        moved = self.queues.turn(now)
-        for evt, answer in moved:
-            if (turn := self.asked.pop(evt, None)) is None:  # guards the others that moved in this turn
+        moved = self.queues.tick(now)
+        for event, answer in moved:
+            if (
+                waiter := self.decision_waiters.pop(event, None)
+            ) is None:  # guards the others that moved in this turn
                 logger.error("an event moved that nobody asked for")
                 continue
-            turn.begin(now, answer)
+            waiter.begin(now, answer)
         if moved:
             await checkpoint()
         return len(moved)
--- /dev/null
+++ b/swiftthread/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Adapter between the router and the simulator's binary protocol. Nothing is decided here."""
--- a/swiftthread/drill/__main__.py
+++ b/swiftthread/simulator/__main__.py
@@ -2,22 +2,22 @@
 
 import sys
 
-from swiftthread.drill import codec
-from swiftthread.drill.hosting import Host
+from swiftthread.simulator import codec
+from swiftthread.simulator.sessions import SessionHost
 
 
 def main():
     """Answer the simulator's frames until it closes our input."""
-    host, source, sink = Host(), sys.stdin.buffer, sys.stdout.buffer
+    host, source, endpoint = SessionHost(), sys.stdin.buffer, sys.stdout.buffer
     try:
         while (frame := codec.read_frame(source)) is not None:
             number, now, records, tail = frame
             reply = codec.Reply(number)
             host.batch(number, now, records, tail, reply)
-            sink.write(reply.frame())
-            sink.flush()
-    except codec.Malformed as fault:
-        print(f"swiftthread.drill: {fault}", file=sys.stderr)
+            endpoint.write(reply.frame())
+            endpoint.flush()
+    except codec.MalformedInput as fault:
+        print(f"swiftthread.simulator: {fault}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 0
--- a/swiftthread/drill/codec.py
+++ b/swiftthread/simulator/codec.py
@@ -2,8 +2,8 @@
 
 import struct
 
-from swiftthread import plain
-from swiftthread.terms import Malformed
+from swiftthread.configuration.settings_reader import MalformedInput
+from swiftthread.routing.messages import LoadReport, SendOutcome
 
 HEADER, REPLY = struct.Struct("<IIId"), struct.Struct("<III")
 EVENT_SIZE, ACTION_SIZE = 48, 24
@@ -28,14 +28,14 @@
 LISTEN, GET_LIST, ANNOUNCE = struct.Struct("<BHB20x"), struct.Struct("<BH21x"), struct.Struct("<BHHII11x")
 
 OUTCOMES = {
-    200: plain.ACKED,
-    502: plain.ERROR,
-    429: plain.FULL,
-    408: plain.TIMEOUT,
-    521: plain.UNREACHED,
-    520: plain.RESET,
-    444: plain.CANCELLED,
-    409: plain.UNSENT,
+    200: SendOutcome.ACKED,
+    502: SendOutcome.FAILED,
+    429: SendOutcome.RATE_LIMITED,
+    408: SendOutcome.TIMED_OUT,
+    521: SendOutcome.UNREACHABLE,
+    520: SendOutcome.RESET,
+    444: SendOutcome.CANCELLED,
+    409: SendOutcome.NOT_EXECUTED,
 }
 FAILED_VIEW, DELTA_VIEW, WHOLE_VIEWS = 3, 2, (0, 4)
 READY, DRAINING, GONE = 2, 3, 0
@@ -47,14 +47,14 @@
     if not head:
         return None
     if len(head) < HEADER.size:
-        raise Malformed(f"input ends inside a batch header, after {len(head)} bytes of {HEADER.size}")
+        raise MalformedInput(f"input ends inside a batch header, after {len(head)} bytes of {HEADER.size}")
     number, size, count, clock = HEADER.unpack(head)
     records_end = HEADER.size + count * EVENT_SIZE
     if size < records_end:
-        raise Malformed(f"batch {number}: {size} bytes cannot hold {count} records")
+        raise MalformedInput(f"batch {number}: {size} bytes cannot hold {count} records")
     body = stream.read(size - HEADER.size)
     if len(body) < size - HEADER.size:
-        raise Malformed(f"batch {number}: input ends after {len(body) + HEADER.size} bytes of {size}")
+        raise MalformedInput(f"batch {number}: input ends after {len(body) + HEADER.size} bytes of {size}")
     return number, clock * 1000.0, records(number, body, count), memoryview(body)[count * EVENT_SIZE :]
 
 
@@ -64,14 +64,14 @@
         code = body[place * EVENT_SIZE]
         layout = EVENTS.get(code)
         if layout is None:
-            raise Malformed(f"batch {number}, record {place}: unknown event code {code}")
+            raise MalformedInput(f"batch {number}, record {place}: unknown event code {code}")
         yield place, code, layout.unpack_from(body, place * EVENT_SIZE + 1)
 
 
 def tail_part(tail, offset, length):
     """Return a part of the frame's variable tail; Malformed when it lies outside."""
     if offset + length > len(tail):
-        raise Malformed(f"the tail has {len(tail)} bytes, but {offset}+{length} are named")
+        raise MalformedInput(f"the tail has {len(tail)} bytes, but {offset}+{length} are named")
     return tail[offset : offset + length]
 
 
@@ -81,7 +81,7 @@
     found = []
     for kind, hall, units, owner, endpoint, _since, phase in ENTRY.iter_unpack(part):
         if phase not in (READY, DRAINING, GONE):
-            raise Malformed(f"list entry for endpoint {endpoint}: unknown phase {phase}")
+            raise MalformedInput(f"list entry for endpoint {endpoint}: unknown phase {phase}")
         found.append((endpoint, owner, hall, kind, units, phase == READY))
     return found
 
@@ -89,13 +89,13 @@
 def outcome(code):
     """The name of an outcome by its code on the wire; Malformed when there is none."""
     if code not in OUTCOMES:
-        raise Malformed(f"unknown outcome code {code}")
+        raise MalformedInput(f"unknown outcome code {code}")
     return OUTCOMES[code]
 
 
 def report(names, count, values):
-    """The load report by our names for its values; empty when there was none."""
-    return dict(zip(names, values[:count], strict=False))
+    """The load report by the names of its values; None when there was none."""
+    return LoadReport.from_fields(dict(zip(names, values[:count], strict=False)))
 
 
 class Reply:
@@ -107,8 +107,8 @@
     def send(self, node, ticket, endpoint, allow_ms):
         self.rows.append(ISSUE.pack(80, node, ticket, endpoint, allow_ms / 1000.0))
 
-    def decline(self, node, ticket, come_back_ms):
-        self.rows.append(BUSY.pack(81, node, ticket, come_back_ms / 1000.0))
+    def decline(self, node, ticket, retry_after_ms):
+        self.rows.append(BUSY.pack(81, node, ticket, retry_after_ms / 1000.0))
 
     def discard(self, node, ticket):
         self.rows.append(GIVE_UP.pack(82, node, ticket))
--- a/swiftthread/store/ledger.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -35,35 +35,58 @@
 NAME, NEW_NAME = "ledger", "ledger.new"
 
 
-class Held:
+class PendingEvent:
     """An event held, as its client handed it in (the tenant by name), and what is known of its sends.
 
     Moments are Unix ms.
     """
 
-    def __init__(self, ident, key, stream, dest, ends_at, tenant, subject, body):
-        self.ident, self.key, self.stream, self.dest, self.ends_at = ident, key, stream, dest, ends_at
-        self.tenant, self.subject, self.body = tenant, subject, body
-        self.sends, self.out, self.maybe, self.decision, self.evt, self.cost = 0, None, None, None, None, 0
-        self.at, self.logged = (
-            0,
-            False,
-        )  # where its first record stands in the file; whether its decision does
-
-    def record(self):
+    def __init__(
+        self, event_id, idempotency_key, stream_type, destination, expires_at, tenant, ordering_key, body
+    ):
+        self.event_id = event_id
+        self.idempotency_key = idempotency_key
+        self.stream_type = stream_type
+        self.destination = destination
+        self.expires_at = expires_at
+        self.tenant = tenant
+        self.ordering_key = ordering_key
+        self.body = body
+        self.attempts = 0
+        self.send_in_flight = None
+        self.may_have_run = None
+        self.decision = None
+        self.event = None
+        self.reserved_bytes = 0
+        self.file_offset = 0  # where its first record stands in the file
+        self.decision_is_logged = False
+
+    def taken_record(self):
         """The log record that says that the event was taken."""
         head = json.dumps(
-            [self.ident, self.key, self.stream, self.dest, self.ends_at, self.tenant, self.subject]
+            [
+                self.event_id,
+                self.idempotency_key,
+                self.stream_type,
+                self.destination,
+                self.expires_at,
+                self.tenant,
+                self.ordering_key,
+            ]
         ).encode()
         return record(TAKEN, struct.pack("<I", len(head)) + head + self.body)
 
-    def sent(self, at, zone):
+    def note_send(self, at, zone):
         """Note a send that leaves at `at` for an endpoint of `zone`."""
-        self.sends, self.maybe, self.out = self.sends + 1, self.maybe or self.out, (at, zone)
+        self.may_have_run = self.may_have_run or self.send_in_flight
+        self.attempts += 1
+        self.send_in_flight = (at, zone)
 
-    def mark(self):
+    def fingerprint(self):
         """What a hand-in under the same id must be alike in to be the same: all but the time that is left."""
-        said = json.dumps([self.key, self.stream, self.dest, self.tenant, self.subject]).encode()
+        said = json.dumps(
+            [self.idempotency_key, self.stream_type, self.destination, self.tenant, self.ordering_key]
+        ).encode()
         return hashlib.blake2b(said + self.body, digest_size=8).hexdigest()
 
 
@@ -103,23 +126,23 @@
     return KINDS.fullmatch(kind) is not None and HEAD.size + length > len(rest)
 
 
-class Ledger:
+class WriteAheadLog:
     """Owner of the file and of the table. `held`: id -> event; emptied as events end."""
 
     def __init__(self, folder, disk_bytes, wall):
         self.path, self.new_path = os.path.join(folder, NAME), os.path.join(folder, NEW_NAME)
-        self.most, self.most_live, self.wall = (
+        self.max_file_bytes, self.max_live_bytes, self.wall = (
             int(FILE_SHARE * disk_bytes),
             int(LIVE_SHARE * disk_bytes),
             wall,
         )
-        self.held, self.live = {}, 0
-        self.cut_off, self.unread = (
+        self.pending, self.live_bytes = {}, 0
+        self.torn_bytes, self.unreadable_ranges = (
             0,
             [],
         )  # bytes of a record torn at the end; (begin, end) of what could not be read
-        self.is_cut = True  # False: a write broke off, and what it left at the end is still there
-        self.over = {}  # id of an ended event -> (when, its mark); emptied as they grow old
+        self.ends_cleanly = True  # False: a write broke off, and what it left at the end is still there
+        self.recently_ended = {}  # id of an ended event -> (when, its mark); emptied as they grow old
         if os.path.exists(self.new_path):
             os.unlink(self.new_path)
         self.file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
@@ -135,13 +158,15 @@
         self.size = len(data)
         for begin, end, kind, payload in records(data):
             if kind is None and end == len(data) and torn(data[begin:end]):
-                self.cut_off, self.size = end - begin, begin
+                self.torn_bytes, self.size = end - begin, begin
                 os.ftruncate(self.file, begin)
             elif kind is None or not self._noted(begin, kind, payload):
                 self._unread(begin, end)
-        for held in self.held.values():
-            held.maybe = held.maybe or held.out  # a send that was out at death may have run
-        if self.unread:
+        for pending in self.pending.values():
+            pending.may_have_run = (
+                pending.may_have_run or pending.send_in_flight
+            )  # a send that was out at death may have run
+        if self.unreadable_ranges:
             try:
                 self._rewrite()
             except OSError as fault:  # it stays as it is, and is read the same the next time
@@ -149,9 +174,9 @@
 
     def _unread(self, begin, end):
         """Here a send, or its end, may have been noted of any event taken before."""
-        self.unread.append((begin, end))
-        for held in self.held.values():
-            held.maybe = UNKNOWN
+        self.unreadable_ranges.append((begin, end))
+        for pending in self.pending.values():
+            pending.may_have_run = UNKNOWN
 
     def _noted(self, at, kind, payload):
         """False when the record says nothing that can be understood."""
@@ -164,52 +189,58 @@
     def _note(self, at, kind, payload):
         if kind == TAKEN or kind in DECIDED_IN:
             (size,) = struct.unpack_from("<I", payload)
-            held = Held(*json.loads(payload[4 : 4 + size]), payload[4 + size :])
-            held.at = at
+            pending = PendingEvent(*json.loads(payload[4 : 4 + size]), payload[4 + size :])
+            pending.file_offset = at
             if kind in DECIDED_IN:
-                held.decision, held.logged = (DECIDED_IN[kind], 0.0), True
-            self._hold(held, HEAD.size + len(payload))
+                pending.decision, pending.decision_is_logged = (DECIDED_IN[kind], 0.0), True
+            self._hold(pending, HEAD.size + len(payload))
             return
         ident, *rest = json.loads(payload)
-        held = self.held.get(ident)
+        pending = self.pending.get(ident)
         if kind == ENDED:
-            self.over.pop(ident, None)  # the latest stands last
-            self.over[ident] = self.wall(), held.mark() if held else rest[0] if rest else None
-        if held is None:
+            self.recently_ended.pop(ident, None)  # the latest stands last
+            self.recently_ended[ident] = (
+                self.wall(),
+                pending.fingerprint() if pending else rest[0] if rest else None,
+            )
+        if pending is None:
             return
         if kind == SENT:
-            held.sent(*rest)
+            pending.note_send(*rest)
         elif kind == NEVER_RAN:
-            held.out = None
+            pending.send_in_flight = None
         elif kind == STATE:
-            held.sends, held.maybe = rest[0], tuple(rest[1]) if rest[1] else None
+            pending.attempts, pending.may_have_run = rest[0], tuple(rest[1]) if rest[1] else None
         elif kind == DECIDED:
-            held.decision, held.logged = tuple(rest), True
+            pending.decision, pending.decision_is_logged = tuple(rest), True
         elif kind == ENDED:
-            self._drop(held)
+            self._drop(pending)
 
-    def _hold(self, held, size):
-        self.held[held.ident], held.cost = held, size + 3 * (len(held.ident) + RESERVE)
-        self.live += held.cost
+    def _hold(self, pending, size):
+        self.pending[pending.event_id], pending.reserved_bytes = (
+            pending,
+            size + 3 * (len(pending.event_id) + RESERVE),
+        )
+        self.live_bytes += pending.reserved_bytes
 
-    def _drop(self, held):
-        if self.held.pop(held.ident, None) is not None:
-            self.live -= held.cost
+    def _drop(self, pending):
+        if self.pending.pop(pending.event_id, None) is not None:
+            self.live_bytes -= pending.reserved_bytes
 
     def _append(self, data):
-        if not self.is_cut:
+        if not self.ends_cleanly:
             os.ftruncate(self.file, self.size)
-            self.is_cut = True
-        if self.size + len(data) > self.most:
+            self.ends_cleanly = True
+        if self.size + len(data) > self.max_file_bytes:
             self._rewrite()
-        self.is_cut = False
+        self.ends_cleanly = False
         try:
             self._write(self.file, data)
         except OSError:
             os.ftruncate(self.file, self.size)  # all of it, or none
-            self.is_cut = True
+            self.ends_cleanly = True
             raise
-        self.is_cut, self.size = True, self.size + len(data)
+        self.ends_cleanly, self.size = True, self.size + len(data)
 
     @staticmethod
     def _write(file, data):
@@ -219,19 +250,28 @@
 
     def _rewrite(self):
         parts, places = [], []  # of each event: what is written of it; where that begins
-        for held in self.held.values():
+        for pending in self.pending.values():
             places.append(len(parts))
-            parts.append(held.record())
-            if held.sends or held.maybe:
-                parts.append(record(STATE, json.dumps([held.ident, held.sends, held.maybe]).encode()))
-            if held.out:
+            parts.append(pending.taken_record())
+            if pending.attempts or pending.may_have_run:
+                parts.append(
+                    record(
+                        STATE, json.dumps([pending.event_id, pending.attempts, pending.may_have_run]).encode()
+                    )
+                )
+            if pending.send_in_flight:
                 # Written as a send of its own, for its end may still be that it never ran.
-                parts[-1] = record(STATE, json.dumps([held.ident, held.sends - 1, held.maybe]).encode())
-                parts.append(record(SENT, json.dumps([held.ident, *held.out]).encode()))
-            if held.decision:
-                parts.append(record(DECIDED, json.dumps([held.ident, *held.decision]).encode()))
+                parts[-1] = record(
+                    STATE, json.dumps([pending.event_id, pending.attempts - 1, pending.may_have_run]).encode()
+                )
+                parts.append(record(SENT, json.dumps([pending.event_id, *pending.send_in_flight]).encode()))
+            if pending.decision:
+                parts.append(record(DECIDED, json.dumps([pending.event_id, *pending.decision]).encode()))
         self._forget()
-        parts += [record(ENDED, json.dumps([ident, mark]).encode()) for ident, (_, mark) in self.over.items()]
+        parts += [
+            record(ENDED, json.dumps([ident, mark]).encode())
+            for ident, (_, mark) in self.recently_ended.items()
+        ]
         data = b"".join(parts)
         file = os.open(self.new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
         try:
@@ -242,10 +282,10 @@
             os.unlink(self.new_path)
             raise
         os.close(self.file)
-        self.file, self.size, self.is_cut = file, len(data), True
+        self.file, self.size, self.ends_cleanly = file, len(data), True
         starts = [0, *accumulate(map(len, parts))]
-        for held, place in zip(self.held.values(), places, strict=True):
-            held.at = starts[place]
+        for pending, place in zip(self.pending.values(), places, strict=True):
+            pending.file_offset = starts[place]
 
     def _said(self, kind, *values):
         """False when the log could not take it: after a restart the event may then be owed for longer."""
@@ -259,72 +299,75 @@
     # what the node tells it
 
     def _forget(self):
-        while self.over and next(iter(self.over.values()))[0] < self.wall() - OVER_MS:
-            del self.over[next(iter(self.over))]
+        while self.recently_ended and next(iter(self.recently_ended.values()))[0] < self.wall() - OVER_MS:
+            del self.recently_ended[next(iter(self.recently_ended))]
 
-    def known(self, held):
+    def matches_known_event(self, pending):
         """Whether an event of this id is the same hand-in; None where none is held, or was until just now."""
         self._forget()
-        if (other := self.held.get(held.ident)) is not None:
-            return other.mark() == held.mark()
-        if held.ident not in self.over:
+        if (other := self.pending.get(pending.event_id)) is not None:
+            return other.fingerprint() == pending.fingerprint()
+        if pending.event_id not in self.recently_ended:
             return None
-        return self.over[held.ident][1] in (None, held.mark())  # a log from before marks holds none
+        return self.recently_ended[pending.event_id][1] in (
+            None,
+            pending.fingerprint(),
+        )  # a log from before marks holds none
 
-    def taken(self, held):
+    def append_taken(self, pending):
         """False when the log has no room for the event or cannot take it; then it is not held."""
-        data = held.record()
-        if self.live + len(data) + 3 * (len(held.ident) + RESERVE) > self.most_live:
+        data = pending.taken_record()
+        if self.live_bytes + len(data) + 3 * (len(pending.event_id) + RESERVE) > self.max_live_bytes:
             return False
         try:
             self._append(data)
         except OSError as fault:
             logger.error("the log cannot take an event: {}", fault.strerror)
             return False
-        held.at = self.size - len(data)
-        self._hold(held, len(data))
+        pending.file_offset = self.size - len(data)
+        self._hold(pending, len(data))
         return True
 
-    def sent(self, held, zone):
+    def append_sent(self, pending, zone):
         """Before a send's first byte; False when it must not go, for the log cannot take it."""
         at = self.wall()
-        if not self._said(SENT, held.ident, at, zone):
+        if not self._said(SENT, pending.event_id, at, zone):
             return False
-        held.sent(at, zone)
+        pending.note_send(at, zone)
         return True
 
-    def never_ran(self, held):
+    def append_never_ran(self, pending):
         """Note that the send that was out surely had no effect."""
-        held.out = None
-        self._said(NEVER_RAN, held.ident)
+        pending.send_in_flight = None
+        self._said(NEVER_RAN, pending.event_id)
 
-    def decided(self, held, outcome, retry_in_ms):
+    def append_decision(self, pending, outcome, retry_in_ms):
         """False when the log cannot take it, not even in place: a restart would not know of it."""
-        held.decision = (outcome, retry_in_ms)
-        held.logged = (
-            held.logged
-            or self._said(DECIDED, held.ident, outcome, retry_in_ms)
-            or self._in_place(held, IN_PLACE[outcome])
+        pending.decision = (outcome, retry_in_ms)
+        pending.decision_is_logged = (
+            pending.decision_is_logged
+            or self._said(DECIDED, pending.event_id, outcome, retry_in_ms)
+            or self._in_place(pending, IN_PLACE[outcome])
         )
-        return held.logged
+        return pending.decision_is_logged
 
-    def _in_place(self, held, kind):
+    def _in_place(self, pending, kind):
         """What has its bytes already needs no room."""
         try:
             file = os.open(self.path, os.O_WRONLY)  # not the one that appends whatever the place
             try:
-                return os.pwrite(file, kind, held.at + KIND_AT) == 1
+                return os.pwrite(file, kind, pending.file_offset + KIND_AT) == 1
             finally:
                 os.close(file)
         except OSError as fault:
             logger.error("the log cannot be changed: {}", fault.strerror)
             return False
 
-    def ended(self, held):
+    def append_ended(self, pending):
         """Forget an event that has its final answer."""
-        self._drop(held)
-        self.over[held.ident] = self.wall(), held.mark()
-        self._said(ENDED, held.ident)
+        self._drop(pending)
+        self.recently_ended[pending.event_id] = self.wall(), pending.fingerprint()
+        self._said(ENDED, pending.event_id)
 
     def close(self):
         """Close the log file."""
--- a/swiftthread/store/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What a node holds: events, buffers, idle connections, the log. It decides nothing."""
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,8 +1,8 @@
 """The program with a planted fault.
 
 What FAULT names raises in each of the calls whose numbers stand behind it, as in
-"swiftthread.choice:Dispatcher.where 2 3". No faults of ours are known there; what is tested is what one would
-cost.
+"swiftthread.routing.router:Router.decide 2 3". No faults of ours are known there; what is
+tested is what one would cost.
 """
 
 import os
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -4,9 +4,10 @@
 import random
 from itertools import count
 
-from helpers import Run
+from helpers import SimulatedNode
 
-from swiftthread.statistics import RecentCount
+from swiftthread.routing.messages import SendOutcome
+from swiftthread.routing.statistics import RecentCount
 
 CALL_MS, IDLE_MS = 100.0, 4000.0  # ms: an endpoint's answer; a node's connection idles so long at most
 
@@ -27,7 +28,7 @@
         if served:
             self.open[member] = (now + CALL_MS, now + CALL_MS + IDLE_MS)
         self.calls.append((now, member, served))
-        return (CALL_MS, "acked") if served else (30.0, "table full")
+        return (CALL_MS, SendOutcome.ACKED) if served else (30.0, SendOutcome.CONNECTION_LIMIT)
 
     def close(self, member):
         self.open.pop(member, None)
@@ -36,37 +37,45 @@
         return sum(not served for _, _, served in self.calls) / len(self.calls)
 
 
-class Member(Run):
+class Member(SimulatedNode):
     """One instance of a fleet; its script stands in the fleet's."""
 
-    def __init__(self, fleet, number, sinks, endpoints, terms):
+    def __init__(self, fleet, number, entries, endpoints, settings):
         self.fleet, self.number, self.endpoints = fleet, number, endpoints
         super().__init__(
-            sinks, lambda ticket, sink, now: endpoints[sink].answer(number, now), position=number, **terms
+            entries,
+            lambda ticket, endpoint, now: endpoints[endpoint].answer(number, now),
+            node_position=number,
+            **settings,
         )
-        self.inst.node.spread = random.Random(number).uniform
+        self.session.router.random_uniform = random.Random(number).uniform
 
     def at(self, moment, act, *args):
         heapq.heappush(self.fleet.todo, (moment, next(self.fleet.turn), self, act, args))
 
-    def over(self, ticket, sink, outcome, delay, told=0.0):
-        if outcome != "table full":  # known to sockets alone; the drill's wire has no word for it
-            return super().over(ticket, sink, outcome, delay, told)
-        evt = self.inst.out.pop(ticket)
-        self.inst.answer(evt, self.inst.node.after(evt, outcome, self.now, delay), self.now, self)
-        self.inst.stirred = True
+    def over(self, ticket, endpoint, outcome, delay, told=0.0):
+        if (
+            outcome != SendOutcome.CONNECTION_LIMIT
+        ):  # known to sockets alone; the drill's wire has no word for it
+            return super().over(ticket, endpoint, outcome, delay, told)
+        event = self.session.in_flight.pop(ticket)
+        self.session.answer(
+            event, self.session.router.record_outcome(event, outcome, self.now, delay), self.now, self
+        )
+        self.session.needs_recheck = True
 
-    def close_idle(self, _node, sink):
-        self.endpoints[sink].close(self.number)
+    def close_idle(self, _node, endpoint):
+        self.endpoints[endpoint].close(self.number)
 
 
 class Fleet:
     """So many instances that share nothing but the endpoints, by sink."""
 
-    def __init__(self, size, sinks, endpoints, **terms):
+    def __init__(self, size, entries, endpoints, **settings):
         self.todo, self.turn = [], count()
         self.members = [
-            Member(self, number, sinks, endpoints, {"nodes": size} | terms) for number in range(size)
+            Member(self, number, entries, endpoints, {"node_count": size} | settings)
+            for number in range(size)
         ]
 
     def load(self, seed, rate, begin, end):
@@ -81,7 +90,7 @@
             now, _, member, act, args = heapq.heappop(self.todo)
             member.now = now
             act(*args)
-            member.inst.settle(now, member)
+            member.session.settle(now, member)
         return self
 
     def lines(self, word):
@@ -97,10 +106,10 @@
 
     def answer(self, _member, now):
         if self.out_at <= now < self.back_at:
-            return 20.0, "unreached"
+            return 20.0, SendOutcome.UNREACHABLE
         if now >= self.back_at:
             self.calls.append(now)
-        return CALL_MS, "acked"
+        return CALL_MS, SendOutcome.ACKED
 
     def within(self, begin, end):
         return sum(begin <= moment - self.back_at < end for moment in self.calls)
@@ -121,6 +130,6 @@
         self.recent.add(now)
         if self.recent.count(now) > self.per_s:
             self.refused.append(now)
-            return 20.0, "full", self.told_ms
+            return 20.0, SendOutcome.RATE_LIMITED, self.told_ms
         self.served.append(now)
-        return CALL_MS, "acked"
+        return CALL_MS, SendOutcome.ACKED
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """What the tests share: scripts played to one instance, and stand-ins round a program that is started.
 
-`Run` keeps a printed trace of decisions. A trace lives in tests/traces/ and is read by people. After a wanted
-change of behaviour, run the tests with WRITE_TRACES=1 once, then read the difference before it is committed.
+`SimulatedNode` keeps a printed trace of decisions. A trace lives in tests/traces/ and is read by
+people. After a wanted change of behaviour, run the tests with WRITE_TRACES=1 once, then read the difference before it is committed.
 """
 
 import contextlib
@@ -21,74 +21,85 @@
 
 import h11
 
-from swiftthread.drill.hosting import Instance
-from swiftthread.plain import StreamType
-from swiftthread.store.ledger import ENDED, TAKEN, records
-from swiftthread.wire.line import STAMP, STAMP_ROOM, STAMPED
+from swiftthread.network.connection import STAMP, STAMP_ROOM, STAMPED
+from swiftthread.routing.messages import SendOutcome
+from swiftthread.routing.settings import Settings, StreamType
+from swiftthread.simulator.sessions import Session
+from swiftthread.storage.write_ahead_log import ENDED, TAKEN, records
 
 TRACES = Path(__file__).parent / "traces"
 CODES = {
-    "acked": 200,
-    "error": 502,
-    "full": 429,
-    "timeout": 408,
-    "unreached": 521,
-    "reset": 520,
-    "unsent": 409,
+    SendOutcome.ACKED: 200,
+    SendOutcome.FAILED: 502,
+    SendOutcome.RATE_LIMITED: 429,
+    SendOutcome.TIMED_OUT: 408,
+    SendOutcome.UNREACHABLE: 521,
+    SendOutcome.RESET: 520,
+    SendOutcome.NOT_EXECUTED: 409,
 }
 IDEMPOTENT = StreamType(1500.0, 10000.0, effect="idempotent")
-DEDUPLICATED = StreamType(3000.0, 16000.0, effect="deduplicated", window_ms=6000.0, late_utility=0.5)
+DEDUPLICATED = StreamType(
+    3000.0, 16000.0, effect="deduplicated", deduplication_window_ms=6000.0, late_weight=0.5
+)
 NON_IDEMPOTENT = StreamType(3000.0, 16000.0)
 
 
-class Run:
+class SimulatedNode:
     """One instance, a clock, and receivers that answer as `answers(ticket, sink, now)` says.
 
     A tuple of (delay, outcome[, told wait]); None is silence until the time-out.
     """
 
-    def __init__(self, sinks, answers=lambda ticket, sink, now: (100.0, "acked"), **terms):
-        terms = {
-            "streams": [IDEMPOTENT],
+    def __init__(
+        self, endpoints, answers=lambda ticket, endpoint, now: (100.0, SendOutcome.ACKED), **settings
+    ):
+        settings = {
+            "stream_types": [IDEMPOTENT],
             "listed_rates": "nominal",
-            "fall_multiple": 2.0,
-            "cold_from": 0.2,
+            "overload_multiple": 2.0,
+            "cold_capacity_share": 0.2,
             "warm_up_ms": 8000.0,
-        } | terms
-        self.inst, self.answers, self.lines = Instance(1, 7, terms, ["x0", "x1"]), answers, []
+        } | settings
+        self.session, self.answers, self.lines = (
+            Session(1, 7, Settings(**settings), ["x0", "x1"]),
+            answers,
+            [],
+        )
         self.now, self.todo, self.turn = 0.0, [], count()
-        self.at(0.0, self.list, sinks, True)
+        self.at(0.0, self.list, endpoints, True)
 
     def at(self, moment, act, *args):
         heapq.heappush(self.todo, (moment, next(self.turn), act, args))
 
-    def list(self, sinks, whole=False):
+    def list(self, endpoints, whole=False):
         """Sinks as (id, destination, zone, kind, listed rate, ready)."""
-        self.inst.node.listed(sinks, whole, self.now)
-        self.inst.stirred = True
+        self.session.router.apply_endpoint_list(endpoints, whole, self.now)
+        self.session.needs_recheck = True
 
-    def take(self, ticket, dest=0, stream=0, left=None, subject=0):
-        node = self.inst.node
-        evt = node.take(self.now, stream, dest, left or node.streams[stream].max_age_ms, 0, subject)
-        evt.ticket, self.inst.held[ticket] = ticket, evt
-        self.inst.ask(evt)
+    def take(self, ticket, destination=0, stream=0, left=None, subject=0):
+        node = self.session.router
+        event = node.add_event(
+            self.now, stream, destination, left or node.stream_types[stream].max_age_ms, 0, subject
+        )
+        event.handle, self.session.pending[ticket] = ticket, event
+        self.session.ask(event)
 
-    def over(self, ticket, sink, outcome, delay, told=0.0):
-        self.say(f"{outcome} {ticket} at {sink}" + (f", told to wait {told:.0f}" if told else ""))
+    def over(self, ticket, endpoint, outcome, delay, told=0.0):
+        self.say(f"{outcome} {ticket} at {endpoint}" + (f", told to wait {told:.0f}" if told else ""))
         code = CODES[outcome]
-        self.inst.resolved(ticket, sink, code, code == 200, delay / 1000.0, told, (0,), self.now, self)
+        self.session.resolved(ticket, endpoint, code, code == 200, delay / 1000.0, told, (0,), self.now, self)
 
     def withdraw(self, ticket):
-        self.inst.withdrawn(ticket, self.now)
+        self.session.withdrawn(ticket, self.now)
 
     # what the instance asks for, as the wire's reply would carry it
 
-    def send(self, _node, ticket, sink, allow):
-        self.say(f"send {ticket} -> {sink}, allow {allow:.0f}")
-        delay, outcome, *told = self.answers(ticket, sink, self.now) or (allow, "timeout")
+    def send(self, _node, ticket, endpoint, allow):
+        self.say(f"send {ticket} -> {endpoint}, allow {allow:.0f}")
+        delay, outcome, *told = self.answers(ticket, endpoint, self.now) or (allow, SendOutcome.TIMED_OUT)
         if delay >= allow:
-            delay, outcome, told = allow, "timeout", ()
-        self.at(self.now + delay, self.over, ticket, sink, outcome, delay, *told)
+            delay, outcome, told = allow, SendOutcome.TIMED_OUT, ()
+        self.at(self.now + delay, self.over, ticket, endpoint, outcome, delay, *told)
 
     def decline(self, _node, ticket, come_back):
         self.say(f"decline {ticket}, come back after {come_back:.0f}")
@@ -96,13 +107,15 @@
     def discard(self, _node, ticket):
         self.say(f"discard {ticket}")
 
-    def probe(self, _node, sink):
-        self.say(f"probe {sink}")
-        delay, outcome, *_ = self.answers(None, sink, self.now) or (1000.0, "timeout")
-        self.at(self.now + delay, self.inst.node.probed, sink, outcome, self.now + delay, delay)
+    def probe(self, _node, endpoint):
+        self.say(f"probe {endpoint}")
+        delay, outcome, *_ = self.answers(None, endpoint, self.now) or (1000.0, SendOutcome.TIMED_OUT)
+        self.at(
+            self.now + delay, self.session.router.record_probe, endpoint, outcome, self.now + delay, delay
+        )
 
-    def close_idle(self, _node, sink):
-        self.say(f"close idle connections to {sink}")
+    def close_idle(self, _node, endpoint):
+        self.say(f"close idle connections to {endpoint}")
 
     def listen(self, _node):
         self.say("ask for the list")
@@ -119,7 +132,7 @@
             while self.todo and self.todo[0][0] <= self.now:
                 _, _, act, args = heapq.heappop(self.todo)
                 act(*args)
-            self.inst.settle(self.now, self)
+            self.session.settle(self.now, self)
         return self
 
     def as_kept(self, name):
@@ -133,7 +146,7 @@
 # Stand-ins on loopback, for a program that is started.
 
 
-class Speaker:
+class FakeHttpServer:
     """An HTTP/1.1 server of threads.
 
     `answer(method, target, headers, body)` gives (status, headers, body), or None for silence, "reset" for a
@@ -226,7 +239,7 @@
                 conn.shutdown(socket.SHUT_RDWR)
 
 
-class Endpoint(Speaker):
+class FakeEndpoint(FakeHttpServer):
     """Answers its calls as the script says, one entry a call, the last for all that follow.
 
     Keeps them in `calls`.
@@ -268,7 +281,7 @@
         return [headers["x-txn"] for _, _, headers, _ in self.calls]
 
 
-class Gated(Endpoint):
+class GatedEndpoint(FakeEndpoint):
     """An endpoint that can be shut.
 
     Then its queue of connections is full, and the kernel drops what asks for one. Who asked meanwhile asks
@@ -300,7 +313,7 @@
         self.gate.set()
 
 
-class Discovery(Speaker):
+class FakeDiscovery(FakeHttpServer):
     """Holds a list, tells its changes to all watches, and takes notices."""
 
     def __init__(self, *entries):
@@ -349,7 +362,7 @@
     return {"Name": name, "Effect": effect, "Aim": 1.5, "Deadline": 5.0, "Value": 1.0, "Group": "all"} | more
 
 
-class Program:
+class NodeProcess:
     """`python -m swiftthread` with its folder, and its discovery."""
 
     SETTINGS = {
@@ -382,7 +395,7 @@
     }
 
     def __init__(self, folder, *endpoints, known=True, limits=(), environ=None, **settings):
-        self.folder, self.discovery = folder, Discovery(*[endpoint.entry() for endpoint in endpoints])
+        self.folder, self.discovery = folder, FakeDiscovery(*[endpoint.entry() for endpoint in endpoints])
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
         self.state = folder / "state"
@@ -452,14 +465,14 @@
             conn.sendall(data)
             return conn.recv(4096)
 
-    def bytes_of(self, stream="notice", body=b"hello", dest=1, left="4000m", ident=None, **headers):
+    def bytes_of(self, stream="notice", body=b"hello", destination=1, left="4000m", ident=None, **headers):
         ident = ident or f"evt-{next(self.count)}"
         head = {
             "Host": "api.internal",
             "X-Txn": ident,
             "X-Lane": stream.partition("/")[0],
             "X-Remaining": left,
-            "X-Route-To": f"dest={dest}",
+            "X-Route-To": f"dest={destination}",
             "Content-Length": len(body),
         } | headers
         lines = "".join(f"{name}: {value}\r\n" for name, value in head.items() if value is not None)
@@ -480,13 +493,13 @@
         self.stop()
         return self.process.stderr.read().decode()
 
-    def ledger(self):
+    def log_path(self):
         return self.state / "ledger"
 
     def held(self):
         """Ids of the events that its log holds."""
         held = {}
-        for _, _, kind, payload in records(self.ledger().read_bytes()):
+        for _, _, kind, payload in records(self.log_path().read_bytes()):
             if kind in (TAKEN, ENDED):
                 row = json.loads(
                     payload[4 : 4 + struct.unpack_from("<I", payload)[0]] if kind == TAKEN else payload
--- a/tests/lab/test_scripts.py
+++ b/tests/lab/test_scripts.py
@@ -5,9 +5,9 @@
 
 import msgspec
 import pytest
+from swiftthread.terms import terms_of
 
 from swiftthread.lab import experiment, load, scripts
-from swiftthread.terms import terms_of
 
 GOOD = """
 format = 1
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from swiftthread.drill import codec
+from swiftthread.simulator import codec
 
 CONF = json.dumps(
     {
@@ -50,7 +50,7 @@
 
 def drill(data):
     done = subprocess.run(
-        [sys.executable, "-m", "swiftthread.drill"], input=data, capture_output=True, timeout=30
+        [sys.executable, "-m", "swiftthread.simulator"], input=data, capture_output=True, timeout=30
     )
     return done.returncode, done.stdout, done.stderr.decode()
 
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -8,7 +8,7 @@
 
 import pytest
 from effects import Rules, Seen, broken
-from helpers import Gated, Program, lane, until
+from helpers import GatedEndpoint, NodeProcess, lane, until
 
 ONCE, ZONE, ALL, FREELY = Rules(True), Rules(True, "zone", 2.0), Rules(True, "all", 2.0), Rules(False)
 
@@ -78,7 +78,7 @@
             self._endpoint(f"s-{number}", 1 + number // 3, "west" if number % 3 else "east")
             for number in range(3 * self.CELLS)
         ]
-        self.program = Program(
+        self.program = NodeProcess(
             folder,
             *self.endpoints,
             Profiles=[profile for _, profile in self.STREAMS.values()],
@@ -91,7 +91,7 @@
         self.program.discovery.answer = self._platform
 
     def _endpoint(self, ident, cell, zone):
-        endpoint, chance = Gated(ident=ident, cell=cell), random.Random(self.chance.random())
+        endpoint, chance = GatedEndpoint(ident=ident, cell=cell), random.Random(self.chance.random())
         endpoint.entry = lambda entry=endpoint.entry: entry(weight=self.RATE) | {"zone": zone}
 
         def answer(method, target, headers, body):
@@ -135,7 +135,7 @@
             stream,
             ident=ident,
             left="5500m",
-            dest=self.chance.randint(1, self.CELLS),
+            destination=self.chance.randint(1, self.CELLS),
             **{"Idempotency-Key": f"key-{number}"},
         )
 
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -19,14 +19,14 @@
 
 import anyio
 import pytest
-from helpers import Endpoint, Program, until
+from helpers import FakeEndpoint, NodeProcess, until
 
-from swiftthread.service.choices import Intake
+from swiftthread.network.buffer_pool import BufferPool
+from swiftthread.network.connection import Connection, open_listener
+from swiftthread.server.http_server import HttpServer
+from swiftthread.service.admission import AdmissionController
 from swiftthread.service.limits import Limits
-from swiftthread.store.buffers import Buffers
-from swiftthread.store.ledger import TAKEN, records
-from swiftthread.wire.door import Door
-from swiftthread.wire.line import Line, listening
+from swiftthread.storage.write_ahead_log import TAKEN, records
 
 BYTES = (
     b"POST /once HTTP/1.1\r\nHost: n\r\nX-Txn: %s\r\nX-Lane: once\r\n"
@@ -44,23 +44,23 @@
 
     def __init__(self, tasks, idle_ms=60000.0):
         self.taken, self.tasks = [], tasks
-        self.listener = listening(("127.0.0.1", 0), 64)
-        self.door = Door(
+        self.listener = open_listener(("127.0.0.1", 0), 64)
+        self.door = HttpServer(
             self.take,
             {"once": 0},
-            Buffers(),
+            BufferPool(),
             Limits({"sockets": 256}, 8, 5000.0, 500.0),
             lambda: 0.0,
             60000.0,
             60000.0,
             idle_ms,
-            Intake(5.0),
+            AdmissionController(5.0),
             lambda: None,
         )
         tasks.start_soon(self.door.serve, self.listener, tasks)
 
     def take(self, held):
-        self.taken.append(held.ident)
+        self.taken.append(held.event_id)
         return 202, None, 0.0
 
     async def client(self):
@@ -101,17 +101,17 @@
 
 def crossing(monkeypatch, client):
     """A request of the client's comes right after its connection was found to rest."""
-    fresh = Line.fresh
+    fresh = Connection.is_untouched
 
     def and_then(line):
         was = fresh(line)
-        if was and line.sock.getpeername() == client.getsockname():
+        if was and line.socket.getpeername() == client.getsockname():
             client.sendall(BYTES % (b"crossed", 0))
-            while not unread(line.sock):
+            while not unread(line.socket):
                 pass
         return was
 
-    monkeypatch.setattr(Line, "fresh", and_then)
+    monkeypatch.setattr(Connection, "is_untouched", and_then)
 
 
 @pytest.mark.parametrize("why", ["stop", "room", "idle", "end"])
@@ -124,7 +124,7 @@
         elif why == "room":
             assert place.door._close_one()
         elif why == "end":
-            await place.door.end(place.listener, place.tasks)
+            await place.door.finish(place.listener, place.tasks)
         assert await said(client) == b"" and client.recv(9) == b""
         client.close()
         await here(lambda: not any(place.door.rooms))
@@ -140,7 +140,7 @@
         assert await said(client) == b""
         (line,) = place.door.leaving
         await here(lambda: not any(place.door.rooms))
-        assert line.sock.fileno() < 0
+        assert line.socket.fileno() < 0
         client.close()
 
     inside(test)
@@ -161,7 +161,7 @@
 
 def test_room_is_made_at_once_though_nobody_who_was_let_go_closes():
     async def test(place):
-        place.door.limits.clients = 4
+        place.door.limits.max_clients = 4
         clients = [await place.client() for _ in range(12)]
         assert sum(map(len, place.door.rooms)) <= 4 and len(place.taken) == 12
         for client in clients:
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("opened", [False, True])
 def test_who_has_asked_when_a_stop_ends_is_answered(tmp_path, opened):
     """What came on a connection, accepted or still in the listener's queue, while the process stood still."""
-    with Program(tmp_path, Endpoint()) as node:
+    with NodeProcess(tmp_path, FakeEndpoint()) as node:
         client = node.open() if opened else None
         if opened:
             until(lambda: client.sendall(node.bytes_of("once", b"")[:1]) is None)
@@ -192,7 +192,7 @@
 
 @pytest.mark.parametrize("which", [signal.SIGTERM, signal.SIGINT])
 def test_a_signal_before_the_configuration_is_read_ends_in_order(tmp_path, which):
-    node = Program(tmp_path, Endpoint())
+    node = NodeProcess(tmp_path, FakeEndpoint())
     pipe = tmp_path / "pipe"
     os.mkfifo(pipe)
     process = subprocess.Popen(
@@ -221,7 +221,7 @@
 
 
 def test_signals_again_and_again_until_the_exit_end_it_no_other_way(tmp_path):
-    with Program(tmp_path, Endpoint()) as node:
+    with NodeProcess(tmp_path, FakeEndpoint()) as node:
         assert node.hand_in() == 202
         began = time.monotonic()
         while node.process.poll() is None:
@@ -233,10 +233,10 @@
 
 
 def test_a_decision_whose_notice_is_not_answered_outlasts_a_stop(tmp_path):
-    with Program(tmp_path, Endpoint(500)) as node:
+    with NodeProcess(tmp_path, FakeEndpoint(500)) as node:
         node.discovery.refusing = 10**6
         assert node.hand_in("once") == 202
-        until(lambda: b"given_up" in node.ledger().read_bytes())
+        until(lambda: b"given_up" in node.log_path().read_bytes())
         assert node.stop() == 0 and node.held() == {"evt-1"}
         node.discovery.refusing = 0
         node.start()
@@ -245,8 +245,8 @@
 
 def test_what_a_restart_finds_taken_and_untried_is_tried_though_no_list_is_known_yet(tmp_path):
     """The operators' term: giving such events up without a call fails the day."""
-    endpoint = Endpoint(None)
-    with Program(tmp_path, endpoint, Domain={"CallsOut": 1}, Permissions={"MaxOpen": 24}) as node:
+    endpoint = FakeEndpoint(None)
+    with NodeProcess(tmp_path, endpoint, Domain={"CallsOut": 1}, Permissions={"MaxOpen": 24}) as node:
         assert [node.hand_in("notice", left="5000m") for _ in range(20)] == [202] * 20
         until(lambda: endpoint.calls)
         node.stop(signal.SIGKILL)
@@ -272,8 +272,8 @@
         if reset:
             conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
-    endpoint = Endpoint(lambda _body: half, 200)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(lambda _body: half, 200)
+    with NodeProcess(tmp_path, endpoint) as node:
         assert node.hand_in("once") == node.hand_in("notice") == 202
         until(lambda: not node.held())
         assert len(endpoint.calls) == 2 + (endpoint.idents()[0] == "evt-2")
@@ -292,8 +292,8 @@
         until(lambda: time.monotonic() > ends[0] + (0.1 if late else -0.6))
         conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-    endpoint = Endpoint(lambda _body: answer)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(lambda _body: answer)
+    with NodeProcess(tmp_path, endpoint) as node:
         ends.append(time.monotonic() + 1.5)
         assert node.hand_in("once", left="1500m") == 202
         until(lambda: endpoint.calls)
@@ -305,8 +305,8 @@
 
 
 def test_a_hand_in_s_time_counts_from_when_it_came_and_not_from_when_it_is_read(tmp_path):
-    endpoint = Endpoint(None)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(None)
+    with NodeProcess(tmp_path, endpoint) as node:
         with node.open() as client:
             client.sendall(node.bytes_of("once", b"", left="9000m"))  # accepted, and known to ask
             assert client.recv(99).startswith(b"HTTP/1.1 202")
@@ -318,14 +318,14 @@
             assert client.recv(99).startswith(b"HTTP/1.1 202")
         row = next(
             json.loads(payload[4 : 4 + struct.unpack_from("<I", payload)[0]])
-            for _, _, kind, payload in records(node.ledger().read_bytes())
+            for _, _, kind, payload in records(node.log_path().read_bytes())
             if kind == TAKEN and b"evt-2" in payload
         )
         assert came * 1000.0 + 3900.0 < row[4] < came * 1000.0 + 4100.0
 
 
 def test_an_event_whose_call_gets_no_answer_is_told_before_its_time_is_up(tmp_path):
-    with Program(tmp_path, Endpoint(None)) as node:
+    with NodeProcess(tmp_path, FakeEndpoint(None)) as node:
         told = threading.Event()
         node.discovery._ask_of, node.discovery.answer = (
             node.discovery.answer,
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,12 +4,14 @@
 from pathlib import Path
 
 import pytest
-from helpers import Endpoint, Program, until
+from helpers import FakeEndpoint, NodeProcess, until
 
 
 def started(folder, fault, *endpoints, **settings):
     here = Path(__file__).parent
-    node = Program(folder, *endpoints, environ={"FAULT": fault, "PYTHONPATH": str(here.parent)}, **settings)
+    node = NodeProcess(
+        folder, *endpoints, environ={"FAULT": fault, "PYTHONPATH": str(here.parent)}, **settings
+    )
     node.module, node.home = "faulty", here
     return node
 
@@ -29,13 +31,13 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        "swiftthread.choice:Dispatcher.probes 3 4",
-        "swiftthread.queues:Queues._ask 3",
-        "swiftthread.choice:Dispatcher.next_moment 3",
+        "swiftthread.routing.router:Router.endpoints_to_probe 3 4",
+        "swiftthread.service.pending_queues:PendingQueues._ask 3",
+        "swiftthread.routing.router:Router.next_wakeup_at 3",
     ],
 )
 def test_a_fault_in_a_turn_is_one_turn_less(tmp_path, fault):
-    endpoint = Endpoint()
+    endpoint = FakeEndpoint()
     with started(tmp_path, fault, endpoint) as node:
         for _ in range(4):
             assert node.hand_in() == 202
@@ -44,8 +46,8 @@
 
 
 def test_a_fault_where_an_event_is_decided_ends_that_event_alone(tmp_path):
-    endpoint = Endpoint()
-    with started(tmp_path, "swiftthread.choice:Dispatcher.where 2", endpoint) as node:
+    endpoint = FakeEndpoint()
+    with started(tmp_path, "swiftthread.routing.router:Router.decide 2", endpoint) as node:
         for _ in range(4):
             assert node.hand_in() == 202
         until(lambda: len(endpoint.calls) == 3 and node.notices() and not node.held())
@@ -57,50 +59,52 @@
 
 def test_what_moved_before_a_fault_in_the_same_turn_is_not_lost(tmp_path):
     """The first of two events was let go, and its slot booked, when the turn broke off."""
-    first, second = Endpoint(), Endpoint(ident="s-2", cell=2)
-    with started(tmp_path, "swiftthread.queues:Queues._head 3", first, second) as node:
+    first, second = FakeEndpoint(), FakeEndpoint(ident="s-2", cell=2)
+    with started(tmp_path, "swiftthread.service.pending_queues:PendingQueues._head 3", first, second) as node:
         with node.open() as one, node.open() as two:
-            one.sendall(node.bytes_of()), two.sendall(node.bytes_of(dest=2))
+            one.sendall(node.bytes_of()), two.sendall(node.bytes_of(destination=2))
             until(lambda: first.calls and second.calls and not node.held())
         assert len(first.calls) == len(second.calls) == 1
         assert "a turn failed" in still_serves(node, first)
 
 
 def test_a_fault_in_a_notice_tells_it_again(tmp_path):
-    endpoint = Endpoint("reset")
-    with started(tmp_path, "swiftthread.wire.notices:exchange 1 2", endpoint) as node:
+    endpoint = FakeEndpoint("reset")
+    with started(tmp_path, "swiftthread.client.result_notifier:exchange 1 2", endpoint) as node:
         assert node.hand_in("once") == 202
         until(lambda: list(node.notices().values()) == ["given_up"] and not node.held())
         assert "notices failed" in still_serves(node, endpoint)
 
 
 def test_a_fault_in_the_list_asks_for_the_whole_list(tmp_path):
-    endpoint, later = Endpoint(), Endpoint(ident="s-2", cell=2)
+    endpoint, later = FakeEndpoint(), FakeEndpoint(ident="s-2", cell=2)
     with started(
-        tmp_path, "swiftthread.wire.registry:Registry.entries 3", endpoint
+        tmp_path, "swiftthread.client.discovery_client:DiscoveryClient.parse_list 3", endpoint
     ) as node:  # 1: known, 2: the first list
         until(lambda: node.discovery.watches)
         node.discovery.tell(later.entry())
         node.discovery.page = {"version": 9, "full": True, "servers": [endpoint.entry(), later.entry()]}
         until(lambda: len(node.discovery.targets) == 2)
         assert node.discovery.targets[1].endswith("from=0")
-        until(lambda: node.hand_in(dest=2) == 202)
+        until(lambda: node.hand_in(destination=2) == 202)
         until(lambda: later.calls)
         assert "the watch failed" in still_serves(node, endpoint)
 
 
 def test_a_fault_in_a_probe_is_a_probe_without_an_answer(tmp_path):
-    endpoint = Endpoint(None, 200)
+    endpoint = FakeEndpoint(None, 200)
     endpoint.entry = lambda entry=endpoint.entry: entry(weight=50.0)
-    with started(tmp_path, "swiftthread.wire.courier:exchange 1", endpoint, Weights="nominal") as node:
+    with started(
+        tmp_path, "swiftthread.client.endpoint_client:exchange 1", endpoint, Weights="nominal"
+    ) as node:
         assert node.hand_in() == 202
         until(lambda: endpoint.probes and len(endpoint.calls) == 2 and not node.held())
         assert "a probe failed" in still_serves(node, endpoint)
 
 
 def test_a_fault_in_an_accept_turns_away_that_client_alone(tmp_path):
-    endpoint = Endpoint()
-    with started(tmp_path, "swiftthread.wire.door:Line 3", endpoint) as node:
+    endpoint = FakeEndpoint()
+    with started(tmp_path, "swiftthread.server.http_server:Connection 3", endpoint) as node:
         for _ in range(4):
             # The one that met the fault.
             with contextlib.suppress(OSError, IndexError):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,9 +1,9 @@
 """What is harmless in one instance and harmful in many that share an endpoint and see little each."""
 
 from fleet import Fleet, Table
-from helpers import Run
+from helpers import SimulatedNode
 
-from swiftthread.plain import Later
+from swiftthread.routing.messages import Defer, SendOutcome
 
 ROUTE = [("a", 0, 0, 0, 100.0, True)]
 
@@ -22,29 +22,29 @@
     """New connections turned away were taken for the limit: rates fell, two of them shut a destination."""
 
     def paced(outcome):
-        run = Run(ROUTE, nodes=20)
-        key = run.play(0.0).inst.node.sinks["a"].key
-        rate, evt = key.rate, run.inst.node.take(0.0, 0, 0, 10000.0)
+        run = SimulatedNode(ROUTE, node_count=20)
+        key = run.play(0.0).session.router.endpoints["a"].rate_limiter
+        rate, event = key.rate, run.session.router.add_event(0.0, 0, 0, 10000.0)
         for moment in (0.0, 1500.0, 3000.0, 4500.0):
-            run.inst.node.where(evt, moment)
-            run.inst.node.after(evt, outcome, moment + 30.0, 30.0)
-        return key.rate / rate, run.inst.node.sinks["a"].down
-
-    assert paced("table full") == (1.0, False)
-    run = Run([("a", 0, 0, 0, 0.0, True)]).play(0.0)
-    evt = run.inst.node.take(0.0, 0, 0, 10000.0)
-    run.inst.node.where(evt, 0.0)
-    run.inst.node.after(evt, "table full", 30.0, 30.0)
-    assert run.inst.node.where(evt, 150.0) == Later()  # an unpaced key has no slot to wait for
-    slowed, down = paced("full")
+            run.session.router.decide(event, moment)
+            run.session.router.record_outcome(event, outcome, moment + 30.0, 30.0)
+        return key.rate / rate, run.session.router.endpoints["a"].is_down
+
+    assert paced(SendOutcome.CONNECTION_LIMIT) == (1.0, False)
+    run = SimulatedNode([("a", 0, 0, 0, 0.0, True)]).play(0.0)
+    event = run.session.router.add_event(0.0, 0, 0, 10000.0)
+    run.session.router.decide(event, 0.0)
+    run.session.router.record_outcome(event, SendOutcome.CONNECTION_LIMIT, 30.0, 30.0)
+    assert run.session.router.decide(event, 150.0) == Defer()  # an unpaced key has no slot to wait for
+    slowed, down = paced(SendOutcome.RATE_LIMITED)
     assert slowed < 0.5 and down
 
 
 def test_a_connection_that_an_event_waits_for_is_kept_until_none_does():
     """It was closed in the turn in which its call ended, and the next event's slot paid for a new one."""
-    node = Run([("a", 0, 0, 0, 1.0, True)], keepalive_ms=5000.0).play(0.0).inst.node
-    first, second = [node.take(0.0, 0, 0, 10000.0) for _ in range(2)]
-    for evt, moment, closed in ((first, 0.0, []), (second, 1100.0, ["a"])):
-        node.where(evt, moment)
-        node.after(evt, "acked", moment + 50.0, 50.0, over=True)
-        assert [sink.ident for sink in node.closes(moment + 50.0)] == closed
+    node = SimulatedNode([("a", 0, 0, 0, 1.0, True)], keepalive_ms=5000.0).play(0.0).session.router
+    first, second = [node.add_event(0.0, 0, 0, 10000.0) for _ in range(2)]
+    for event, moment, closed in ((first, 0.0, []), (second, 1100.0, ["a"])):
+        node.decide(event, moment)
+        node.record_outcome(event, SendOutcome.ACKED, moment + 50.0, 50.0, is_finished=True)
+        assert [endpoint.endpoint_id for endpoint in node.endpoints_to_disconnect(moment + 50.0)] == closed
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from swiftthread.service.choices import LEAST, Intake
+from swiftthread.service.admission import LEAST, AdmissionController
 
 
 def taken(intake, wanted):
-    return sum(intake.takes() for _ in range(wanted))
+    return sum(intake.try_admit() for _ in range(wanted))
 
 
 @pytest.mark.parametrize(
@@ -24,24 +24,24 @@
     ],
 )
 def test_requests_read_in_a_turn(late, moved, expected):
-    intake = Intake(5.0)
+    intake = AdmissionController(5.0)
     for _ in range(60):
-        intake.turn(late, moved)
+        intake.record_tick(late, moved)
     assert taken(intake, 1000) == expected
 
 
 def test_one_late_turn_shuts_nobody_out_and_one_light_one_lets_no_crowd_in():
-    intake = Intake(5.0)
-    intake.turn(40.0, 20)
-    assert intake.left == math.inf
+    intake = AdmissionController(5.0)
+    intake.record_tick(40.0, 20)
+    assert intake.remaining == math.inf
     for _ in range(20):
-        intake.turn(40.0, 20)
-    assert taken(intake, 1000) == 18 and not intake.takes()
-    intake.turn(0.0, 20)
-    assert intake.left < math.inf
+        intake.record_tick(40.0, 20)
+    assert taken(intake, 1000) == 18 and not intake.try_admit()
+    intake.record_tick(0.0, 20)
+    assert intake.remaining < math.inf
     for _ in range(20):
-        intake.turn(0.0, 20)
-    assert intake.left == math.inf
+        intake.record_tick(0.0, 20)
+    assert intake.remaining == math.inf
 
 
 def test_in_and_out_balance_whatever_is_offered():
@@ -49,15 +49,15 @@
 
     Ten times as much is offered.
     """
-    intake, held, acked = Intake(5.0), 0, 0
+    intake, held, acked = AdmissionController(5.0), 0, 0
     for _ in range(60):
-        intake.turn(50.0, 64)
+        intake.record_tick(50.0, 64)
     for _ in range(500):
         came = taken(intake, 1000)
         moved = min(held + came, 64)
         held += came - moved
         acked += moved
-        intake.turn(
+        intake.record_tick(
             max(0.0, came + 2 * moved - 100) * 0.05 + 5.1, moved
         )  # with so much offered it is never idle
     assert held <= 64 and acked > 500 * LEAST
--- a/tests/test_list_retry.py
+++ b/tests/test_list_retry.py
@@ -6,7 +6,8 @@
 import pytest
 from helpers import IDEMPOTENT
 
-from swiftthread.choice import Dispatcher
+from swiftthread.routing.router import Router
+from swiftthread.routing.settings import Settings
 
 NODES = 40
 CALLS_PER_S = 6.0  # discovery answers each instance once in 6.7 s; the bench's page gives 2 to 8 s
@@ -36,7 +37,12 @@
 def times_told(seed):
     """When each of the instances has the list, if all ask at one moment; END_MS for those that never do."""
     nodes = [
-        Dispatcher(seed + i, streams=[IDEMPOTENT], nodes=NODES, asks_for_list=True, ask_within_ms=10000.0)
+        Router(
+            Settings(
+                stream_types=[IDEMPOTENT], node_count=NODES, polls_discovery=True, poll_within_ms=10000.0
+            ),
+            seed + i,
+        )
         for i in range(NODES)
     ]
     discovery, told, number = Overbooked(), [END_MS] * NODES, count()
@@ -45,13 +51,13 @@
         now, _, i = heapq.heappop(asks)
         if now >= END_MS:
             continue
-        assert nodes[i].wants_list(now) and not nodes[i].wants_list(now)
+        assert nodes[i].should_request_list(now) and not nodes[i].should_request_list(now)
         answered_at, has_list = discovery.call(now)
         if has_list:
-            nodes[i].listed([], True, answered_at)
+            nodes[i].apply_endpoint_list([], True, answered_at)
             told[i] = answered_at
         else:
-            heapq.heappush(asks, (nodes[i].list_failed(answered_at), next(number), i))
+            heapq.heappush(asks, (nodes[i].list_request_failed(answered_at), next(number), i))
     return sorted(told)
 
 
@@ -64,15 +70,15 @@
 
 
 def test_the_pause_before_the_next_call_doubles_to_the_told_time_and_starts_anew_with_a_list():
-    node = Dispatcher(1, asks_for_list=True, ask_within_ms=10000.0)
-    pauses = [node.list_failed(0.0) for _ in range(8)]
+    node = Router(Settings(polls_discovery=True, poll_within_ms=10000.0), 1)
+    pauses = [node.list_request_failed(0.0) for _ in range(8)]
     for pause, mean in zip(pauses, (1000.0, 2000.0, 4000.0, *[20000.0 / 3] * 5), strict=True):
         assert 0.5 * mean <= pause <= 1.5 * mean
-    node.listed([], False, 0.0)
-    assert node.list_failed(0.0) <= 1500.0
+    node.apply_endpoint_list([], False, 0.0)
+    assert node.list_request_failed(0.0) <= 1500.0
 
 
 def test_a_local_agent_that_pushes_the_list_is_asked_again_at_once_however_often_it_failed():
-    node = Dispatcher(1, ask_within_ms=10000.0)
-    pauses = [node.list_failed(0.0) for _ in range(50)]
+    node = Router(Settings(poll_within_ms=10000.0), 1)
+    pauses = [node.list_request_failed(0.0) for _ in range(50)]
     assert max(pauses) <= 300.0 and max(pauses) - min(pauses) > 100.0
