--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,18 +13,18 @@
 from itertools import pairwise
 
 import pytest
-from helpers import Discovery, Endpoint, Program, until
+from helpers import FakeDiscovery, FakeEndpoint, NodeProcess, until
 
-from swiftthread.choice import Sink
-from swiftthread.plain import Destination
-from swiftthread.store.ledger import record
+from swiftthread.routing.events import Destination
+from swiftthread.routing.router import Endpoint
+from swiftthread.storage.write_ahead_log import record
 
 REFUSED = (429, [("Retry-After", "0.6")], b"")
 
 
 def test_an_event_is_acked_and_leaves_the_log(tmp_path):
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint) as node:
         assert node.hand_in("posting", b"\x00any\xff", **{"Idempotency-Key": "k-1"}) == 202
         until(lambda: endpoint.calls)
         _, target, headers, body = endpoint.calls[0]
@@ -35,7 +35,7 @@
             b"\x00any\xff",
         )
         assert headers["x-remaining"][-1] == "m" and 0 < int(headers["x-remaining"][:-1]) <= 4000
-        until(lambda: b'E["evt-1"]' in node.ledger().read_bytes())
+        until(lambda: b'E["evt-1"]' in node.log_path().read_bytes())
         assert node.stop() == 0
         assert node.start().stop() == 0 and len(endpoint.calls) == 1 and node.notices() == {}
 
@@ -53,8 +53,8 @@
     ],
 )
 def test_an_idempotent_event_goes_again_whatever_the_first_answer(tmp_path, first):
-    endpoint = Endpoint(first, 200)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(first, 200)
+    with NodeProcess(tmp_path, endpoint) as node:
         assert node.hand_in() == 202
         until(lambda: len(endpoint.calls) == 2)
         assert node.stop() == 0 and node.notices() == {}
@@ -75,11 +75,11 @@
     def spoilt(first):
         return lambda _body: lambda conn: (conn.sendall(first + b"\r\n" + rest), time.sleep(3))
 
-    endpoint = Endpoint(spoilt(b"HTTP/1.1 200 OK"), spoilt(b"HTTP/1.1 503 Full"), 200)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(spoilt(b"HTTP/1.1 200 OK"), spoilt(b"HTTP/1.1 503 Full"), 200)
+    with NodeProcess(tmp_path, endpoint) as node:
         began = time.monotonic()
         assert node.hand_in("once") == 202
-        until(lambda: b'E["evt-1"]' in node.ledger().read_bytes())
+        until(lambda: b'E["evt-1"]' in node.log_path().read_bytes())
         assert node.notices() == {} and node.hand_in("once") == 202
         until(lambda: node.notices() == {"evt-2": "given_up"})
         assert time.monotonic() - began < 1.5 and len(endpoint.calls) == endpoint.accepted == 2
@@ -97,26 +97,26 @@
         conn.sendall(more * (pause > 0))
         time.sleep(3)
 
-    endpoint = Endpoint(*[lambda _body: answer] * 3, 500)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(*[lambda _body: answer] * 3, 500)
+    with NodeProcess(tmp_path, endpoint) as node:
         for number in range(1, 5):
             assert node.hand_in("once") == 202
-            until(lambda: b'E["evt-%d"]' % number in node.ledger().read_bytes())
+            until(lambda: b'E["evt-%d"]' % number in node.log_path().read_bytes())
             time.sleep(2 * pause)
         assert len(endpoint.calls) == endpoint.accepted == 4 and node.notices() == {"evt-4": "given_up"}
 
 
 def test_a_told_wait_is_kept_though_its_answer_breaks_off(tmp_path):
-    endpoint = Endpoint(b"HTTP/1.1 429 Full\r\nRetry-After: 0.7\r\nContent-Length: 9\r\n\r\n", 200)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(b"HTTP/1.1 429 Full\r\nRetry-After: 0.7\r\nContent-Length: 9\r\n\r\n", 200)
+    with NodeProcess(tmp_path, endpoint) as node:
         assert node.hand_in() == 202
         until(lambda: len(endpoint.calls) == 2)
         assert endpoint.calls[1][0] - endpoint.calls[0][0] > 0.69
 
 
 def test_an_endpoint_at_another_s_address_gets_none_of_its_connections(tmp_path):
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint) as node:
         for ident in ("s-1", "s-2"):
             for _ in range(16):  # so busy that connections are kept
                 assert node.hand_in() == 202
@@ -139,16 +139,16 @@
     ],
 )
 def test_a_non_idempotent_event_goes_again_only_if_it_surely_did_not_run(tmp_path, first, calls, told):
-    endpoint = Endpoint(first, 200)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(first, 200)
+    with NodeProcess(tmp_path, endpoint) as node:
         assert node.hand_in("once") == 202
-        until(lambda: b'E["evt-1"]' in node.ledger().read_bytes())
+        until(lambda: b'E["evt-1"]' in node.log_path().read_bytes())
         assert len(endpoint.calls) == calls and node.notices() == told
 
 
 def test_a_told_wait_holds_back_all_events_of_the_destination(tmp_path):
-    first, second = Endpoint(REFUSED, 200), Endpoint(REFUSED, 200, ident="s-2")
-    with Program(tmp_path, first, second) as node:
+    first, second = FakeEndpoint(REFUSED, 200), FakeEndpoint(REFUSED, 200, ident="s-2")
+    with NodeProcess(tmp_path, first, second) as node:
         node.hand_in()
         until(lambda: first.calls or second.calls)
         for _ in range(4):
@@ -165,18 +165,18 @@
     Were it a refusal, the fifth call would come after the event's time: one in a second halves the two calls
     a second of one of 200 nodes.
     """
-    endpoint = Endpoint(*[(503, [("Connection", "close")], b"")] * 4, 200)
+    endpoint = FakeEndpoint(*[(503, [("Connection", "close")], b"")] * 4, 200)
     endpoint.entry = lambda entry=endpoint.entry: entry(weight=40.0)
-    with Program(tmp_path, endpoint, Balancers=200, Weights="nominal") as node:
+    with NodeProcess(tmp_path, endpoint, Balancers=200, Weights="nominal") as node:
         assert node.hand_in() == 202
-        until(lambda: b'E["evt-1"]' in node.ledger().read_bytes())
+        until(lambda: b'E["evt-1"]' in node.log_path().read_bytes())
         assert node.notices() == {} and len(endpoint.calls) == 5
 
 
 def test_a_closed_port_is_a_connect_that_failed_and_may_go_elsewhere(tmp_path):
-    closed, open_ = Endpoint(ident="s-2"), Endpoint()
+    closed, open_ = FakeEndpoint(ident="s-2"), FakeEndpoint()
     closed.cut()
-    with Program(tmp_path, closed, open_) as node:
+    with NodeProcess(tmp_path, closed, open_) as node:
         for number in range(1, 5):
             assert node.hand_in("once") == 202
             until(lambda: len(open_.calls) == number)
@@ -184,8 +184,8 @@
 
 
 def test_a_silent_endpoint_times_out_is_probed_and_never_has_two_sends_of_an_event(tmp_path):
-    endpoint = Endpoint(None, 200)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(None, 200)
+    with NodeProcess(tmp_path, endpoint) as node:
         began = time.monotonic()
         assert node.hand_in() == 202
         until(lambda: len(endpoint.calls) == 2)
@@ -194,9 +194,9 @@
 
 
 def test_what_cannot_be_sent_is_handed_back_before_its_max_age(tmp_path):
-    endpoint = Endpoint()
+    endpoint = FakeEndpoint()
     endpoint.cut()
-    with Program(tmp_path, endpoint) as node:
+    with NodeProcess(tmp_path, endpoint) as node:
         began = time.monotonic()
         assert node.hand_in("once", left="700m") == 202 and node.hand_in("posting", left="500000u") == 202
         node.discovery.refusing = 2
@@ -222,13 +222,13 @@
 
 def test_several_in_one_call_each_have_their_end(tmp_path):
     states = ["done", "failed", "busy", "void", "used_up"]
-    endpoint = Endpoint(REFUSED, many(states), many(["done"] * 5))
-    with Program(tmp_path, endpoint, Domain={"KindBatch": [5]}) as node:
+    endpoint = FakeEndpoint(REFUSED, many(states), many(["done"] * 5))
+    with NodeProcess(tmp_path, endpoint, Domain={"KindBatch": [5]}) as node:
         assert node.hand_in() == 202
         until(lambda: endpoint.calls)
         for _ in range(4):
             assert node.hand_in("once", b"\xfe") == 202
-        until(lambda: all(b'E["evt-%d"]' % i in node.ledger().read_bytes() for i in range(1, 6)))
+        until(lambda: all(b'E["evt-%d"]' % i in node.log_path().read_bytes() for i in range(1, 6)))
         assert endpoint.calls[1][1] == "/receive-many"
         sent = [row["id"] for row in json.loads(endpoint.calls[1][3])]
         again = [
@@ -244,8 +244,8 @@
 
 
 def test_an_unreadable_answer_for_several_may_have_run(tmp_path):
-    endpoint = Endpoint(REFUSED, many(["done"] * 5, cut=3), 200)
-    with Program(tmp_path, endpoint, Domain={"KindBatch": [5]}) as node:
+    endpoint = FakeEndpoint(REFUSED, many(["done"] * 5, cut=3), 200)
+    with NodeProcess(tmp_path, endpoint, Domain={"KindBatch": [5]}) as node:
         node.hand_in("once")
         until(lambda: endpoint.calls)
         node.hand_in("once")
@@ -258,8 +258,8 @@
         time.sleep(0.1)
         return 200
 
-    endpoint = Endpoint("reset", slow)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint("reset", slow)
+    with NodeProcess(tmp_path, endpoint) as node:
         for _ in range(3):
             assert node.hand_in("turn/till-7") == 202
         until(lambda: len(endpoint.calls) == 4)
@@ -268,21 +268,21 @@
 
 
 def test_a_kept_connection_is_used_again_but_not_near_its_idle_time(tmp_path):
-    endpoint = Endpoint(idle_s=1.0)
-    with Program(tmp_path, endpoint, Permissions={"Keepalive": 1.0}) as node:
+    endpoint = FakeEndpoint(idle_s=1.0)
+    with NodeProcess(tmp_path, endpoint, Permissions={"Keepalive": 1.0}) as node:
         opened = []
         for number, pause in enumerate([0.0] * 80 + [0.9, 0.9], 1):
             time.sleep(pause)
             assert node.hand_in("once") == 202
-            until(lambda: b'E["evt-%d"]' % number in node.ledger().read_bytes())
+            until(lambda: b'E["evt-%d"]' % number in node.log_path().read_bytes())
             opened.append(endpoint.accepted)
         assert opened[-1] == opened[-2] + 1 == opened[-3] + 2 == opened[-5] + 2
         assert (len(endpoint.calls), node.notices()) == (82, {})
 
 
 def test_a_list_is_followed_and_a_lost_watch_opened_anew(tmp_path):
-    old, new = Endpoint(), Endpoint(ident="s-2")
-    with Program(tmp_path, old) as node:
+    old, new = FakeEndpoint(), FakeEndpoint(ident="s-2")
+    with NodeProcess(tmp_path, old) as node:
         until(lambda: node.discovery.watches)
         node.discovery.tell(old.entry("DRAINING"), new.entry())
         time.sleep(0.2)
@@ -302,8 +302,8 @@
 
 
 def test_a_broken_line_of_the_watch_leads_to_the_whole_list(tmp_path):
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint, known=False) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint, known=False) as node:
         until(lambda: node.discovery.watches)
         node.discovery._line(node.discovery.watches[0], '{"version": 7, "servers": [{"id"')
         until(lambda: len(node.discovery.targets) == 2)
@@ -314,22 +314,22 @@
 
 
 def test_sighup_moves_the_watch_and_the_notices_while_events_are_held(tmp_path):
-    old, new, later = Endpoint(503), Endpoint(ident="s-2", cell=2), Endpoint(ident="s-3", cell=3)
-    with Program(tmp_path, old, environ={"LB_DISCOVERY": "127.0.0.1:1"}) as node:
+    old, new, later = FakeEndpoint(503), FakeEndpoint(ident="s-2", cell=2), FakeEndpoint(ident="s-3", cell=3)
+    with NodeProcess(tmp_path, old, environ={"LB_DISCOVERY": "127.0.0.1:1"}) as node:
         node.reload()  # the file's own address wins over that of the start
         until(lambda: node.discovery.watches)
         assert node.hand_in("once", left="1500m") == 202
         first = node.discovery
         for discovery, endpoint, ident in (
-            (Discovery(new.entry(), old.entry()), new, "evt-2"),
-            (Discovery(later.entry(), old.entry()), later, "evt-3"),
+            (FakeDiscovery(new.entry(), old.entry()), new, "evt-2"),
+            (FakeDiscovery(later.entry(), old.entry()), later, "evt-3"),
         ):
             node.reload("{")
             time.sleep(0.2)
             node.reload(discovery=discovery.address, limits={"sockets": 300})
             until(lambda: discovery.targets == ["/catalog/members?watch=1&from=0"] and discovery.watches)
             time.sleep(0.1)
-            assert node.hand_in(dest=endpoint.cell) == 202
+            assert node.hand_in(destination=endpoint.cell) == 202
             until(lambda: endpoint.idents() == [ident])
         until(lambda: discovery.notices)
         assert discovery.notices[0]["outcome"] == "handed_back" and not first.notices
@@ -341,23 +341,23 @@
 
 
 def test_a_notice_on_its_way_is_told_again_where_discovery_moved_to(tmp_path):
-    endpoint = Endpoint(500)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(500)
+    with NodeProcess(tmp_path, endpoint) as node:
         until(lambda: node.discovery.watches)
         held_back = threading.Event()
         silent, ask = node.discovery, node.discovery.answer
         silent.answer = lambda method, *rest: held_back.set() if method == "POST" else ask(method, *rest)
         assert node.hand_in("once") == 202
         until(held_back.is_set)
-        fresh, began = Discovery(endpoint.entry()), time.monotonic()
+        fresh, began = FakeDiscovery(endpoint.entry()), time.monotonic()
         node.reload(discovery=fresh.address)
         until(lambda: fresh.notices)
         assert fresh.notices[0]["outcome"] == "given_up" and time.monotonic() - began < 1.0
 
 
 def test_sigterm_takes_what_crosses_it_and_sends_to_the_end(tmp_path):
-    slow = Endpoint(lambda _body: (time.sleep(0.25), 200)[1])
-    with Program(tmp_path, slow, Domain={"CallsOut": 1}, Permissions={"MaxOpen": 50}) as node:
+    slow = FakeEndpoint(lambda _body: (time.sleep(0.25), 200)[1])
+    with NodeProcess(tmp_path, slow, Domain={"CallsOut": 1}, Permissions={"MaxOpen": 50}) as node:
         for _ in range(20):
             assert node.hand_in(left="5000m") == 202
         node.process.send_signal(signal.SIGTERM)
@@ -373,8 +373,8 @@
 
 
 def test_sigterm_answers_what_was_read_and_ends_in_time(tmp_path):
-    endpoint = Endpoint(200, None)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(200, None)
+    with NodeProcess(tmp_path, endpoint) as node:
         conns = [node.open() for _ in range(3)]
         for conn in conns:
             conn.sendall(node.bytes_of("once"))
@@ -399,8 +399,8 @@
 
 
 def test_sigkill_loses_nothing_and_repeats_no_send_that_may_have_run(tmp_path):
-    endpoint = Endpoint(None)
-    with Program(tmp_path, endpoint, Domain={"CallsOut": 2}) as node:
+    endpoint = FakeEndpoint(None)
+    with NodeProcess(tmp_path, endpoint, Domain={"CallsOut": 2}) as node:
         assert node.hand_in("once") == 202
         until(lambda: endpoint.calls)
         for stream in ("notice", "posting", "once"):
@@ -408,7 +408,7 @@
         time.sleep(0.1)
         out = set(endpoint.idents())
         assert node.stop(signal.SIGKILL) == -9
-        with open(node.ledger(), "ab") as torn:
+        with open(node.log_path(), "ab") as torn:
             torn.write(record(b"O", b'["evt-2", half a record]')[:-9])
         endpoint.script[:], endpoint.calls[:] = [200], []
         node.discovery.refusing = 3
@@ -418,7 +418,7 @@
         assert node.notices()["evt-1"] == "given_up" and "evt-1" not in endpoint.idents()
         assert ("evt-4" in endpoint.idents()) == ("evt-4" not in out)
         assert len(endpoint.idents()) == len(set(endpoint.idents()))
-        assert node.stop(signal.SIGKILL) == -9 and b"half a record" not in node.ledger().read_bytes()
+        assert node.stop(signal.SIGKILL) == -9 and b"half a record" not in node.log_path().read_bytes()
 
 
 def test_kills_under_traffic_leave_each_event_with_an_end_and_no_effect_twice(tmp_path):
@@ -432,9 +432,9 @@
         time.sleep(chance.choice([0.0, 0.05, 0.3]))
         return (said, [], b"") if isinstance(said, int) else said
 
-    endpoint = Endpoint()
+    endpoint = FakeEndpoint()
     endpoint.answer = answer
-    with Program(tmp_path, endpoint) as node:
+    with NodeProcess(tmp_path, endpoint) as node:
         taken = {}
         for life in range(4):
             if life:
@@ -451,8 +451,8 @@
         )
         until(
             lambda: all(
-                b'E["%s"]' % ident.encode() in node.ledger().read_bytes()
-                or node.ledger().read_bytes().count(ident.encode()) == 0
+                b'E["%s"]' % ident.encode() in node.log_path().read_bytes()
+                or node.log_path().read_bytes().count(ident.encode()) == 0
                 for ident in taken
             )
         )
@@ -463,11 +463,11 @@
 
 
 def test_a_decision_outlasts_the_process_until_its_notice_is_answered(tmp_path):
-    endpoint = Endpoint(500, 200)
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint(500, 200)
+    with NodeProcess(tmp_path, endpoint) as node:
         node.discovery.refusing = 10**6
         assert node.hand_in("once") == 202
-        until(lambda: b"given_up" in node.ledger().read_bytes())
+        until(lambda: b"given_up" in node.log_path().read_bytes())
         node.stop(signal.SIGKILL)
         node.discovery.refusing = 0
         node.start()
@@ -476,8 +476,8 @@
 
 
 def test_a_full_disk_share_refuses_early_and_recovers(tmp_path):
-    endpoint = Endpoint(None)
-    with Program(tmp_path, endpoint, limits={"disk_mb": 0.2}) as node:
+    endpoint = FakeEndpoint(None)
+    with NodeProcess(tmp_path, endpoint, limits={"disk_mb": 0.2}) as node:
         said = [node.hand_in("notice", bytes(9000), left="4000m") for _ in range(12)]
         assert said == [202] * said.count(202) + [503] * said.count(503) and 3 < said.count(202) < 12
         endpoint.script[:] = [200]
@@ -491,16 +491,16 @@
 
 
 def test_room_is_bounded_and_a_hand_in_repeated_is_one_event(tmp_path):
-    endpoint = Endpoint(None)
-    with Program(tmp_path, endpoint, Permissions={"MaxOpen": 4}) as node:
+    endpoint = FakeEndpoint(None)
+    with NodeProcess(tmp_path, endpoint, Permissions={"MaxOpen": 4}) as node:
         assert [node.hand_in("once", ident="same") for _ in range(3)] == [202] * 3
         assert [node.hand_in("once") for _ in range(4)] == [202] * 3 + [503]
         assert endpoint.idents().count("same") <= 1
 
 
 def test_a_want_of_descriptors_is_outlived(tmp_path):
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint) as node:
         limit = resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE)
         open_ = len(os.listdir(f"/proc/{node.process.pid}/fd"))
         with node.open() as conn:
@@ -520,16 +520,16 @@
 
 
 def test_a_silent_watch_is_opened_anew(tmp_path):
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint) as node:
         node.discovery.silent = True
         until(lambda: len(node.discovery.targets) == 2)
         assert node.hand_in() == 202
 
 
 def test_clients_beyond_the_sockets_are_answered_and_none_is_kept(tmp_path):
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint, limits={"sockets": 96}) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint, limits={"sockets": 96}) as node:
         conns = [node.open() for _ in range(150)]
         time.sleep(0.3)
         assert node.hand_in() == 202
@@ -575,13 +575,13 @@
 )
 def test_headers_that_cannot_be_used_are_refused_for_good(served, change, status):
     assert served.hand_in(body=b"of no use", **change) == status
-    assert b"of no use" not in served.ledger().read_bytes()
+    assert b"of no use" not in served.log_path().read_bytes()
 
 
 @pytest.fixture(scope="module")
 def served(tmp_path_factory):
-    endpoint = Endpoint()
-    with Program(tmp_path_factory.mktemp("served"), endpoint) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path_factory.mktemp("served"), endpoint) as node:
         node.endpoint = endpoint
         yield node
 
@@ -593,16 +593,16 @@
     with served.open() as conn:
         conn.sendall(served.bytes_of(body=b"half of it")[:-1])
         assert conn.recv(999).startswith(b"HTTP/1.1 408")
-    assert served.hand_in() == 202 and b"half of" not in served.ledger().read_bytes()
+    assert served.hand_in() == 202 and b"half of" not in served.log_path().read_bytes()
 
 
 def test_an_unknown_destination_is_refused_until_the_list_names_it(served):
-    assert b"\r\nRetry-After: 0.500\r\n" in served.raw(served.bytes_of(dest=99, body=b"of no use"))
-    assert served.hand_in(dest=99) == 503 and b"of no use" not in served.ledger().read_bytes()
-    late = Endpoint(ident="s-99", cell=99)
+    assert b"\r\nRetry-After: 0.500\r\n" in served.raw(served.bytes_of(destination=99, body=b"of no use"))
+    assert served.hand_in(destination=99) == 503 and b"of no use" not in served.log_path().read_bytes()
+    late = FakeEndpoint(ident="s-99", cell=99)
     until(lambda: served.discovery.watches)
     served.discovery.tell(late.entry())
-    until(lambda: served.hand_in(dest=99) == 202)
+    until(lambda: served.hand_in(destination=99) == 202)
     until(lambda: late.calls)
 
 
@@ -610,7 +610,7 @@
     inner = served.bytes_of(ident="hidden")
     head = served.bytes_of(body=b"0\r\n\r\n" + inner, ident="outer", **{"Transfer-Encoding": "chunked"})
     assert served.raw(head).startswith(b"HTTP/1.1 400") and served.hand_in() == 202
-    assert b"hidden" not in served.ledger().read_bytes() and b"outer" not in served.ledger().read_bytes()
+    assert b"hidden" not in served.log_path().read_bytes() and b"outer" not in served.log_path().read_bytes()
 
 
 def test_an_error_reaches_a_client_that_still_sends_sixty_megabytes(served):
@@ -625,12 +625,12 @@
 def test_a_hand_in_sent_again_when_its_event_is_over_is_the_same_event(served):
     for _ in range(2):
         assert served.hand_in("once", ident="crossed") == 202
-        until(lambda: b'E["crossed"]' in served.ledger().read_bytes())
+        until(lambda: b'E["crossed"]' in served.log_path().read_bytes())
     assert served.endpoint.idents().count("crossed") == 1
 
 
 def test_a_crowd_that_asks_after_the_node_s_health_keeps_no_client_out(tmp_path):
-    with Program(tmp_path, Endpoint(), limits={"sockets": 96}, Permissions={"MaxOpen": 100}) as node:
+    with NodeProcess(tmp_path, FakeEndpoint(), limits={"sockets": 96}, Permissions={"MaxOpen": 100}) as node:
         crowd = []
         for _ in range(120):
             crowd.append(node.open())
@@ -643,7 +643,7 @@
 
 
 def test_clients_that_ask_once_and_stay_leave_room_for_others(tmp_path):
-    with Program(tmp_path, Endpoint(), limits={"sockets": 96}) as node:
+    with NodeProcess(tmp_path, FakeEndpoint(), limits={"sockets": 96}) as node:
         again, said = node.open(), []
         for _ in range(2):
             again.sendall(node.bytes_of())
@@ -660,7 +660,7 @@
 
 
 def test_strangers_are_let_go_in_time_and_never_at_a_client_s_cost(tmp_path):
-    with Program(tmp_path, Endpoint(), limits={"sockets": 256}) as node:
+    with NodeProcess(tmp_path, FakeEndpoint(), limits={"sockets": 256}) as node:
         client, began = node.open(), time.monotonic()
         client.sendall(node.bytes_of())
         assert client.recv(999).startswith(b"HTTP/1.1 202")
@@ -681,7 +681,7 @@
 
 def test_the_longest_ids_are_held_and_delivered(served):
     assert served.hand_in("posting", bytes(65536), ident="i" * 200, **{"Idempotency-Key": "k" * 200}) == 202
-    until(lambda: b'E["%s"]' % (b"i" * 200) in served.ledger().read_bytes())
+    until(lambda: b'E["%s"]' % (b"i" * 200) in served.log_path().read_bytes())
 
 
 def test_several_requests_on_one_connection(served):
@@ -730,30 +730,32 @@
 
 def test_a_call_whose_connect_takes_long_does_not_go_into_a_wait_told_meanwhile(tmp_path):
     def order(ident):
-        return Sink(ident, 0, Destination(1), 0).order
+        return Endpoint(ident, 0, Destination(1), 0).rank
 
     first, second = sorted(("s-1", "s-2"), key=order)
     gate = threading.Event()
 
-    class Gated(Endpoint):
+    class GatedEndpoint(FakeEndpoint):
         def _accept(self):
             gate.wait()
             super()._accept()
 
     answer_now = threading.Event()
-    answers = Endpoint(
+    answers = FakeEndpoint(
         lambda body: answer_now.wait() and (429, [("Retry-After", "1.8")], b""), 200, ident=first
     )
-    slow = Gated(ident=second)
+    slow = GatedEndpoint(ident=second)
     slow.listener.listen(0)  # its queue is full until it accepts: the next connect comes up a second later
     fillers = [socket.socket() for _ in range(3)]
     for filler in fillers:
         filler.setblocking(False)
         filler.connect_ex(slow.listener.getsockname())
-    with Program(tmp_path, answers, slow, Permissions={"ConnectTimeout": 4.0, "Probes": False}) as node:
+    with NodeProcess(tmp_path, answers, slow, Permissions={"ConnectTimeout": 4.0, "Probes": False}) as node:
         assert [node.hand_in(left="5000m"), node.hand_in(left="5000m")] == [202, 202]
         until(
-            lambda: b'O["evt-1"' in node.ledger().read_bytes() and b'O["evt-2"' in node.ledger().read_bytes()
+            lambda: (
+                b'O["evt-1"' in node.log_path().read_bytes() and b'O["evt-2"' in node.log_path().read_bytes()
+            )
         )
         told_at = time.monotonic()
         answer_now.set()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -24,8 +24,10 @@
 
 
 def test_an_instance_told_to_wait_keeps_to_its_part_of_a_listed_limit_and_finds_back():
-    node = Fleet(20, [(ROUTE, 0, 0, 0, 40.0, True)], {ROUTE: Limited(40.0)}).play(0.0).members[0].inst.node
-    key = node.sinks[ROUTE].key
+    node = (
+        Fleet(20, [(ROUTE, 0, 0, 0, 40.0, True)], {ROUTE: Limited(40.0)}).play(0.0).members[0].session.router
+    )
+    key = node.endpoints[ROUTE].rate_limiter
     first = key.rate
     assert key.fair <= key.crowd < first
     node._told(key, 500.0)
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -8,11 +8,11 @@
 
 import anyio
 import pytest
-from helpers import IDEMPOTENT, Endpoint, Program, Run, lane, until
+from helpers import IDEMPOTENT, FakeEndpoint, NodeProcess, SimulatedNode, lane, until
 
-from swiftthread.store import ledger as module
-from swiftthread.store.ledger import Held, Ledger
-from swiftthread.wire.registry import Registry
+from swiftthread.client.discovery_client import DiscoveryClient
+from swiftthread.storage import write_ahead_log as module
+from swiftthread.storage.write_ahead_log import PendingEvent, WriteAheadLog
 
 REALMS = [
     {"Name": "north", "QuotaPerS": 0.001, "Share": 0.5},
@@ -22,48 +22,48 @@
 
 def held(ident="evt-1", **other):
     said = {
-        "key": "k",
-        "stream": "once",
-        "dest": 1,
-        "ends_at": 9000.0,
+        "idempotency_key": "k",
+        "stream_type": "once",
+        "destination": 1,
+        "expires_at": 9000.0,
         "tenant": "north",
-        "subject": 0,
+        "ordering_key": 0,
         "body": b"body",
     } | other
-    return Held(ident, **said)
+    return PendingEvent(ident, **said)
 
 
 def test_a_hand_in_sent_again_after_a_kill_is_no_second_event(tmp_path):
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint) as node:
         assert node.hand_in("once", ident="crossed") == 202
-        until(lambda: b'E["crossed"]' in node.ledger().read_bytes())
+        until(lambda: b'E["crossed"]' in node.log_path().read_bytes())
         node.stop(signal.SIGKILL)
         node.start()
         assert (
             node.hand_in("once", ident="crossed", left="2000m") == node.hand_in("once", ident="next") == 202
         )
-        until(lambda: b'E["next"]' in node.ledger().read_bytes())
+        until(lambda: b'E["next"]' in node.log_path().read_bytes())
         assert endpoint.idents() == ["crossed", "next"] and node.notices() == {}
 
 
 @pytest.mark.parametrize("anew", [False, True])
 def test_an_id_just_over_is_known_after_a_restart_and_a_log_written_anew(tmp_path, anew):
     now = [1000.0]
-    ledger = Ledger(str(tmp_path), 3_000_000, lambda: now[0])
-    assert ledger.taken(held()) and ledger.known(held("evt-2")) is None
-    ledger.ended(ledger.held["evt-1"])
+    log = WriteAheadLog(str(tmp_path), 3_000_000, lambda: now[0])
+    assert log.append_taken(held()) and log.matches_known_event(held("evt-2")) is None
+    log.append_ended(log.pending["evt-1"])
     if anew:
-        ledger._rewrite()
+        log._rewrite()
         assert b"body" not in (tmp_path / module.NAME).read_bytes()
-    ledger.close()
-    ledger = Ledger(str(tmp_path), 3_000_000, lambda: now[0])
-    assert ledger.known(held()) is True and ledger.known(held(body=b"other")) is False
+    log.close()
+    log = WriteAheadLog(str(tmp_path), 3_000_000, lambda: now[0])
+    assert log.matches_known_event(held()) is True and log.matches_known_event(held(body=b"other")) is False
     now[0] += module.OVER_MS + 1.0
-    assert ledger.known(held()) is None and not ledger.over
-    ledger._rewrite()
-    assert ledger.size == 0
-    ledger.close()
+    assert log.matches_known_event(held()) is None and not log.recently_ended
+    log._rewrite()
+    assert log.size == 0
+    log.close()
 
 
 @pytest.mark.parametrize("over", [False, True])
@@ -71,53 +71,66 @@
     "other",
     [
         {"body": b"other"},
-        {"dest": 2},
-        {"stream": "notice"},
+        {"destination": 2},
+        {"stream_type": "notice"},
         {"tenant": "south"},
         {"tenant": None},
-        {"key": "l"},
-        {"subject": 7},
+        {"idempotency_key": "l"},
+        {"ordering_key": 7},
     ],
 )
 def test_another_hand_in_under_a_known_id_is_not_the_same(tmp_path, other, over):
-    ledger = Ledger(str(tmp_path), 3_000_000, lambda: 1000.0)
-    assert ledger.taken(held())
+    log = WriteAheadLog(str(tmp_path), 3_000_000, lambda: 1000.0)
+    assert log.append_taken(held())
     if over:
-        ledger.ended(ledger.held["evt-1"])
-    assert ledger.known(held(**other)) is False and ledger.known(held(ends_at=1.0)) is True
-    ledger.close()
+        log.append_ended(log.pending["evt-1"])
+    assert (
+        log.matches_known_event(held(**other)) is False
+        and log.matches_known_event(held(expires_at=1.0)) is True
+    )
+    log.close()
 
 
 def test_a_log_of_before_marks_still_knows_its_ids(tmp_path):
     (tmp_path / module.NAME).write_bytes(module.record(module.ENDED, b'["evt-1"]'))
-    ledger = Ledger(str(tmp_path), 3_000_000, lambda: 1000.0)
-    assert ledger.known(held()) is True and not ledger.unread
-    ledger.close()
+    log = WriteAheadLog(str(tmp_path), 3_000_000, lambda: 1000.0)
+    assert log.matches_known_event(held()) is True and not log.unreadable_ranges
+    log.close()
 
 
 def test_two_clients_with_one_id_are_not_told_that_both_are_taken(tmp_path):
-    endpoint, other = Endpoint(None), Endpoint(ident="s-2", cell=2)
-    with Program(tmp_path, endpoint, other) as node:
+    endpoint, other = FakeEndpoint(None), FakeEndpoint(ident="s-2", cell=2)
+    with NodeProcess(tmp_path, endpoint, other) as node:
         assert node.hand_in("once", ident="one", body=b"mine") == 202
-        assert node.hand_in("once", ident="one", body=b"yours", dest=2) == 409
+        assert node.hand_in("once", ident="one", body=b"yours", destination=2) == 409
         assert node.hand_in("once", ident="one", body=b"mine", left="300m") == 202
-        assert node.hand_in("once", ident="two", dest=2) == 202
+        assert node.hand_in("once", ident="two", destination=2) == 202
         until(lambda: endpoint.calls and other.calls)
         assert [call[3] for call in endpoint.calls] == [b"mine"] and other.idents() == ["two"]
 
 
 def test_who_is_no_tenant_has_no_tenant_s_share(tmp_path):
     def taken(quotas, tenant):
-        return Run([], quotas=quotas, over_quota_utility=0.1).inst.node.take(0.0, 0, 0, 9000.0, tenant).weight
+        return (
+            SimulatedNode([], quotas=quotas, over_quota_weight=0.1)
+            .session.router.add_event(0.0, 0, 0, 9000.0, tenant)
+            .priority_weight
+        )
 
-    assert taken([50.0, 50.0], 1) == taken([], None) == taken([], 0) == taken([None], 0) == IDEMPOTENT.utility
-    assert taken([50.0, 50.0], None) == taken([50.0, 50.0], 2) == 0.1 * IDEMPOTENT.utility
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint, Realms=REALMS) as node:
+    assert (
+        taken([50.0, 50.0], 1)
+        == taken([], None)
+        == taken([], 0)
+        == taken([None], 0)
+        == IDEMPOTENT.priority_weight
+    )
+    assert taken([50.0, 50.0], None) == taken([50.0, 50.0], 2) == 0.1 * IDEMPOTENT.priority_weight
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint, Realms=REALMS) as node:
         for number, org in enumerate(("north", "east", None)):
             assert node.hand_in(**{"X-Org": org}) == 202
             until(lambda: len(endpoint.calls) == number + 1)
-        assert [node.ledger().read_bytes().count(name) for name in (b'"north"', b'"east"', b"null")] == [
+        assert [node.log_path().read_bytes().count(name) for name in (b'"north"', b'"east"', b"null")] == [
             1,
             1,
             1,
@@ -131,7 +144,7 @@
 
 
 async def _kinds():
-    registry = Registry(("127.0.0.1", 1), None, {"first": 0, "second": 1}, {"east": 0}, 0.0, 0.0)
+    discovery = DiscoveryClient(("127.0.0.1", 1), None, {"first": 0, "second": 1}, {"east": 0}, 0.0, 0.0)
     row = {"id": "s-1", "addr": "127.0.0.1:2", "cell": 0, "zone": "east", "state": "SERVING", "weight": 4.0}
     for kind, batch, apart in (
         ("first", 5, True),
@@ -140,15 +153,15 @@
         (None, 1, False),
         (["first"], 1, False),
     ):
-        run = Run([], batch_by_kind=[5, 3], apart_by_kind=[True, False])
-        run.list(*registry.entries({"version": 1, "full": True, "servers": [row | {"kind": kind}]}))
-        sink = run.inst.node.sinks["s-1"]
-        assert (sink.batch, sink.apart) == (batch, apart)
+        run = SimulatedNode([], batch_size_by_kind=[5, 3], separate_routes_by_kind=[True, False])
+        run.list(*discovery.parse_list({"version": 1, "full": True, "servers": [row | {"kind": kind}]}))
+        endpoint = run.session.router.endpoints["s-1"]
+        assert (endpoint.batch_size, endpoint.has_separate_route) == (batch, apart)
 
 
 def test_what_was_never_sent_is_handed_back_when_its_stream_type_is_no_more(tmp_path):
-    endpoint = Endpoint(None)
-    with Program(
+    endpoint = FakeEndpoint(None)
+    with NodeProcess(
         tmp_path,
         endpoint,
         Profiles=[lane("notice", "retryable"), lane("once", "fragile")],
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -10,15 +10,16 @@
 
 import anyio
 import pytest
-from helpers import IDEMPOTENT, Discovery, Endpoint, Program, Run, Speaker, until
-
-from swiftthread.choice import Sink
-from swiftthread.plain import Destination
+from helpers import IDEMPOTENT, FakeDiscovery, FakeEndpoint, FakeHttpServer, NodeProcess, SimulatedNode, until
+
+from swiftthread.client.discovery_client import MOST_DOUBTFUL, MOST_LIST, DiscoveryClient, JsonAssembler
+from swiftthread.client.endpoint_client import EndpointClient
+from swiftthread.network.buffer_pool import BufferPool
+from swiftthread.network.connection_pool import ConnectionPool
+from swiftthread.routing.events import Destination
+from swiftthread.routing.messages import SendOutcome
+from swiftthread.routing.router import Endpoint
 from swiftthread.service import limits
-from swiftthread.store.buffers import Buffers
-from swiftthread.store.lines import Lines
-from swiftthread.wire.courier import Courier
-from swiftthread.wire.registry import MOST_DOUBTFUL, MOST_LIST, Lists, Registry
 
 ROW = {
     "id": "s-1",
@@ -33,7 +34,7 @@
 
 
 def lists(text):
-    parser = Lists()
+    parser = JsonAssembler()
     return [page for row in text.encode().split(b"\n")[:-1] if (page := parser.add(row)) is not None]
 
 
@@ -66,13 +67,16 @@
     """What a registry makes of each page, and the registry."""
 
     async def read():
-        registry, found = Registry(("127.0.0.1", 1), None, {"plain": 0}, {"east": 0, "west": 1}, 0.0, 0.0), []
+        discovery, found = (
+            DiscoveryClient(("127.0.0.1", 1), None, {"plain": 0}, {"east": 0, "west": 1}, 0.0, 0.0),
+            [],
+        )
         for page in pages:
             try:
-                found.append(registry.entries(page))
+                found.append(discovery.parse_list(page))
             except (ValueError, KeyError, TypeError, AttributeError) as fault:
                 found.append(fault)
-        return registry, found
+        return discovery, found
 
     return anyio.run(read)
 
@@ -90,9 +94,9 @@
     ],
 )
 def test_a_page_that_is_no_list_changes_nothing(page):
-    registry, (_, said) = entries(PAGE, page)
+    discovery, (_, said) = entries(PAGE, page)
     assert isinstance(said, Exception)
-    assert registry.version == 3 and set(registry.addresses) == {"s-1", "s-2"}
+    assert discovery.version == 3 and set(discovery.addresses) == {"s-1", "s-2"}
 
 
 @pytest.mark.parametrize("full", [False, True])
@@ -100,35 +104,35 @@
     "wrong", [{"addr": "nowhere"}, {"cell": None}, {"weight": "much"}, {"state": None, "addr": 5}]
 )
 def test_a_known_endpoint_whose_entry_cannot_be_read_gets_nothing_new(full, wrong):
-    registry, (_, (found, whole)) = entries(
+    discovery, (_, (found, whole)) = entries(
         PAGE, {"version": 4, "full": full, "servers": [ROW | wrong, 7, {"id": 5}]}
     )
-    run = Run([], streams=[])
-    run.inst.node.listed(*entries(PAGE)[1][0], 0.0)
-    run.inst.node.sinks["s-1"].heard = 0.5
-    run.inst.node.listed(found, whole, 1.0)
-    assert not run.inst.node.sinks["s-1"].ready and run.inst.node.sinks["s-1"].zone == 0
-    assert [sink.ident for sink in run.inst.node.dests[0].sinks] == (
+    run = SimulatedNode([], stream_types=[])
+    run.session.router.apply_endpoint_list(*entries(PAGE)[1][0], 0.0)
+    run.session.router.endpoints["s-1"].last_outcome_at = 0.5
+    run.session.router.apply_endpoint_list(found, whole, 1.0)
+    assert not run.session.router.endpoints["s-1"].is_ready and run.session.router.endpoints["s-1"].zone == 0
+    assert [endpoint.endpoint_id for endpoint in run.session.router.destinations[0].endpoints] == (
         [] if full else ["s-2"]
-    ) and registry.doubtful == 1
+    ) and discovery.unreadable_in_a_row == 1
 
 
 def test_a_change_with_an_unreadable_entry_has_the_whole_list_asked_for(tmp_path):
-    old, new = Endpoint(), Endpoint(ident="s-2", cell=2)
-    with Program(tmp_path, old) as node:
+    old, new = FakeEndpoint(), FakeEndpoint(ident="s-2", cell=2)
+    with NodeProcess(tmp_path, old) as node:
         until(lambda: node.discovery.watches)
         whole = {"version": 2, "full": True, "servers": [old.entry(), new.entry()]}
         node.discovery.tell(new.entry() | {"addr": "nowhere"})
         node.discovery.page = whole
         until(lambda: len(node.discovery.targets) == 2)
         assert node.discovery.targets[1].endswith("from=0")
-        until(lambda: node.hand_in(dest=2) == 202)
+        until(lambda: node.hand_in(destination=2) == 202)
         until(lambda: new.calls)
 
 
 def test_a_list_that_stays_unreadable_in_part_is_lived_with(tmp_path):
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint, known=False) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint, known=False) as node:
         node.discovery.page = {"version": 1, "full": True, "servers": [endpoint.entry(), {"id": "s-9"}]}
         node.discovery.lose_watches()
         until(lambda: len(node.discovery.watches) >= MOST_DOUBTFUL + 1)
@@ -153,13 +157,13 @@
             done.set()
 
     async def watch():
-        speaker = Discovery()
+        speaker = FakeDiscovery()
         speaker._watch = drip
         host, port = speaker.address.split(":")
-        registry = Registry((host, int(port)), Buffers(), {}, {}, 300.0, 500.0)
+        discovery = DiscoveryClient((host, int(port)), BufferPool(), {}, {}, 300.0, 500.0)
         began = time.monotonic()
         with anyio.move_on_after(5.0):
-            assert await registry.watch(None)
+            assert await discovery.watch(None)
         return time.monotonic() - began
 
     took = anyio.run(watch)
@@ -172,31 +176,33 @@
 
     An empty line comes every 2 s.
     """
-    run = Run([])
+    run = SimulatedNode([])
     pauses = []
     for _ in range(500):
-        run.inst.node.list_failed(0.0)
-        pauses.append(run.inst.node.listing_at)
+        run.session.router.list_request_failed(0.0)
+        pauses.append(run.session.router.listing_at)
     assert limits.WATCH_QUIET_MS > 4000.0 and limits.WATCH_QUIET_MS + max(pauses) < 5200.0
 
 
 @pytest.mark.parametrize("first, then", [(0, 1), (1, 0)])
 def test_an_endpoint_listed_anew_with_another_kind_is_another_and_its_told_wait_holds(first, then):
-    node = Run([], streams=[IDEMPOTENT], batch_by_kind=[5, 1], apart_by_kind=[False, True]).inst.node
-    node.listed([("a", 0, 0, first, 4.0, True)], True, 0.0)
-    evt = node.take(0.0, 0, 0, 9000.0)
-    old = node.where(evt, 0.0).sink
-    node._told(old.key, 3000.0)
-    node.listed([("a", 0, 0, then, 4.0, True)], False, 10.0)
-    new = node.sinks["a"]
+    node = SimulatedNode(
+        [], stream_types=[IDEMPOTENT], batch_size_by_kind=[5, 1], separate_routes_by_kind=[False, True]
+    ).session.router
+    node.apply_endpoint_list([("a", 0, 0, first, 4.0, True)], True, 0.0)
+    event = node.add_event(0.0, 0, 0, 9000.0)
+    old = node.decide(event, 0.0).endpoint
+    node._told(old.rate_limiter, 3000.0)
+    node.apply_endpoint_list([("a", 0, 0, then, 4.0, True)], False, 10.0)
+    new = node.endpoints["a"]
     assert (
         new is not old
-        and (new.apart, new.batch) == (then == 1, 1 if then else 5)
-        and new.key.blocked == 3000.0
+        and (new.has_separate_route, new.batch_size) == (then == 1, 1 if then else 5)
+        and new.rate_limiter.blocked == 3000.0
     )
-    assert node.leaves_by(evt, old, 3500.0) == -math.inf
-    node.after(evt, "timeout", 3600.0, 3600.0)
-    assert node.lost == {} and not new.down and new.out == 0
+    assert node.send_deadline(event, old, 3500.0) == -math.inf
+    node.record_outcome(event, SendOutcome.TIMED_OUT, 3600.0, 3600.0)
+    assert node.down_endpoints == {} and not new.is_down and new.calls_in_flight == 0
 
 
 def test_a_probe_s_answer_from_an_address_of_before_says_nothing_of_the_endpoint():
@@ -208,13 +214,13 @@
                 addresses["a"] = ("127.0.0.1", 1)
             return 200, [], b""
 
-        host, port = Speaker(answer).address.split(":")
+        host, port = FakeHttpServer(answer).address.split(":")
         addresses["a"] = (host, int(port))
-        lines = Lines(lambda: 0.0, 1000.0, 4)
-        courier = Courier(
+        lines = ConnectionPool(lambda: 0.0, 1000.0, 4)
+        courier = EndpointClient(
             None,
             lines,
-            Buffers(),
+            BufferPool(),
             lambda: 0.0,
             lambda: 0.0,
             addresses,
@@ -222,8 +228,8 @@
             (),
             None,
         )
-        end = await courier.probe(Sink("a", 0, Destination(0), 0))
+        end = await courier.check_health(Endpoint("a", 0, Destination(0), 0))
         lines.close_all()
         return end.outcome
 
-    assert [anyio.run(probed, moves) for moves in (False, True)] == ["acked", "timeout"]
+    assert [anyio.run(probed, moves) for moves in (False, True)] == [SendOutcome.ACKED, SendOutcome.TIMED_OUT]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -11,10 +11,10 @@
 
 import anyio
 import pytest
-from helpers import IDEMPOTENT, Endpoint, Program, Run, lane, until
+from helpers import IDEMPOTENT, FakeEndpoint, NodeProcess, SimulatedNode, lane, until
 
+from swiftthread.client.discovery_client import MOST_LIST, DiscoveryClient
 from swiftthread.service.limits import Limits
-from swiftthread.wire.registry import MOST_LIST, Registry
 
 MANY = 1024
 
@@ -26,13 +26,13 @@
 
 def test_a_thousand_endpoints_and_nodes_fit_into_what_a_node_is_told(tmp_path):
     """At the start, in one line of the watch, and as changes; with an event for the last of them."""
-    real = [Endpoint(ident=f"s-real-{number}", cell=MANY) for number in range(2)]
+    real = [FakeEndpoint(ident=f"s-real-{number}", cell=MANY) for number in range(2)]
     rows = [
         real[0].entry(weight=50.0) | {"id": f"s-{number:08x}", "cell": 1 + number // 2}
         for number in range(MANY - 2)
     ]
     rows += [endpoint.entry(weight=50.0) for endpoint in real]
-    with Program(
+    with NodeProcess(
         tmp_path,
         Balancers=MANY,
         Position=MANY - 1,
@@ -42,7 +42,7 @@
     ) as node:
         until(lambda: node.discovery.watches)
         node.discovery.tell(*rows)
-        until(lambda: node.hand_in(dest=MANY) == 202)
+        until(lambda: node.hand_in(destination=MANY) == 202)
         until(lambda: len(real[0].calls) + len(real[1].calls) == 1)
         for begin in range(0, MANY - 2, 64):
             node.discovery.tell(
@@ -51,30 +51,32 @@
         node.discovery.tell(rows[-1] | {"state": "DELETED"})
         time.sleep(0.2)
         for _ in range(4):  # its part is two calls a second
-            assert node.hand_in(dest=MANY) == 202
+            assert node.hand_in(destination=MANY) == 202
         until(lambda: len(real[0].calls) + len(real[1].calls) == 5)
         assert len(real[1].calls) <= 1
         assert rss_mb(node.process) < 32.0 and len(os.listdir(f"/proc/{node.process.pid}/fd")) < 256
         node.parts["known"] = {"version": 1, "full": True, "servers": rows}
         node.discovery.page["servers"][:] = rows
         node.stop(), node.conf.write_text(json.dumps(node.parts))
-        assert node.start().hand_in(dest=1) == 202 and rss_mb(node.process) < 32.0
+        assert node.start().hand_in(destination=1) == 202 and rss_mb(node.process) < 32.0
 
 
 def test_a_list_of_a_thousand_costs_about_its_length():
     """Each endpoint that came had all of its destination's sorted anew."""
 
     def compared(size):
-        run, seen = Run([]).play(0.0), [0]
+        run, seen = SimulatedNode([]).play(0.0), [0]
 
         class Rank(float):
             def __lt__(self, other):
                 seen[0] += 1
                 return float(self) < float(other)
 
-        run.inst.node.fees = [Rank(0.0)]
-        run.inst.node.apart_by_kind = [True]
-        run.inst.node.listed([(f"s-{number}", 0, 0, 0, 0.0, True) for number in range(size)], True, 0.0)
+        run.session.router.fees = [Rank(0.0)]
+        run.session.router.apart_by_kind = [True]
+        run.session.router.apply_endpoint_list(
+            [(f"s-{number}", 0, 0, 0, 0.0, True) for number in range(size)], True, 0.0
+        )
         return seen[0]
 
     assert compared(MANY) < 15 * MANY
@@ -104,8 +106,8 @@
     """It held 512; the kernel dropped the others, who came a second later or never."""
     if int(Path("/proc/sys/net/core/somaxconn").read_text()) < MANY:
         pytest.skip("the kernel lets fewer wait")
-    endpoint = Endpoint()
-    with Program(tmp_path, endpoint, limits={"sockets": 96}) as node:
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint, limits={"sockets": 96}) as node:
         node.process.send_signal(19)  # SIGSTOP: nobody is accepted meanwhile
         conns = [socket.socket() for _ in range(900)]
         began = time.monotonic()
@@ -121,13 +123,13 @@
 
 def test_a_zone_that_the_settings_do_not_name_is_a_group_of_its_own():
     async def zones(*names):
-        registry = Registry(("127.0.0.1", 1), None, {}, {"east": 0, "west": 1}, 0.0, 0.0)
+        discovery = DiscoveryClient(("127.0.0.1", 1), None, {}, {"east": 0, "west": 1}, 0.0, 0.0)
         rows = [
             {"id": f"s-{number}", "addr": "127.0.0.1:9", "cell": 1, "state": "SERVING"}
             | ({"zone": name} if name != "-" else {})
             for number, name in enumerate(names)
         ]
-        return [row[2] for row in registry.entries({"version": 1, "full": True, "servers": rows})[0]]
+        return [row[2] for row in discovery.parse_list({"version": 1, "full": True, "servers": rows})[0]]
 
     names = "east", "west", "north", "north", "south", "-", None, ["east"], 7
     seen = anyio.run(zones, *names)
@@ -136,11 +138,11 @@
 
 
 def test_events_of_an_unnamed_zone_pay_no_fee_and_go_on():
-    run = Run(
+    run = SimulatedNode(
         [("a", 0, 70000, 0, 0.0, True)],
-        streams=[IDEMPOTENT],
-        apart_by_kind=[True],
-        carriage_by_zone=[0.1, 0.2],
+        stream_types=[IDEMPOTENT],
+        separate_routes_by_kind=[True],
+        carriage_cost_by_zone=[0.1, 0.2],
     )
     run.at(1.0, run.take, 1)
     assert any("acked 1 at a" in line for line in run.play(500.0).lines)
@@ -161,8 +163,8 @@
     ],
 )
 def test_what_is_unclear_of_a_stream_type_is_read_the_cautious_way_and_named(tmp_path, profile, said):
-    first, second = Endpoint("reset", "reset"), Endpoint("reset", "reset", ident="s-2")
-    with Program(
+    first, second = FakeEndpoint("reset", "reset"), FakeEndpoint("reset", "reset", ident="s-2")
+    with NodeProcess(
         tmp_path, first, second, Profiles=[lane("posting", "dedup", Window=3.0, Group="zone") | profile]
     ) as node:
         assert node.hand_in("posting", left="2000m", **{"Idempotency-Key": "k"}) == 202
@@ -175,8 +177,8 @@
     "profile", [{"Window": float("nan")}, {"Window": "3 s"}, {"Deadline": float("inf")}, {"Effect": []}]
 )
 def test_a_length_of_time_that_is_none_ends_the_start_in_one_line(tmp_path, profile):
-    program = Program(
-        tmp_path, Endpoint(), Profiles=[lane("a", "retryable"), lane("b", "dedup", Window=3.0) | profile]
+    program = NodeProcess(
+        tmp_path, FakeEndpoint(), Profiles=[lane("a", "retryable"), lane("b", "dedup", Window=3.0) | profile]
     )
     with pytest.raises(AssertionError) as told:
         program.start()
