--- a/swiftthread/lab/builds.py
+++ b/swiftthread/lab/builds.py
@@ -6,26 +6,28 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from swiftthread.lab.runner import TREE, Trouble
+from swiftthread.lab.runner import SOURCE_TREE, RunError
 
 
-def _git(*words):
-    done = subprocess.run(["git", "-C", str(TREE), *words], capture_output=True, text=True, check=False)
-    if done.returncode:
-        raise Trouble(f"git {words[0]}: {done.stderr.strip().splitlines()[-1]}")
-    return done.stdout.strip()
+def _git(*arguments):
+    completed = subprocess.run(
+        ["git", "-C", str(SOURCE_TREE), *arguments], capture_output=True, text=True, check=False
+    )
+    if completed.returncode:
+        raise RunError(f"git {arguments[0]}: {completed.stderr.strip().splitlines()[-1]}")
+    return completed.stdout.strip()
 
 
 @contextmanager
-def tree_of(rev):
+def source_tree(rev):
     """The folder of a build; None or "tree": this one."""
     if rev in (None, "tree"):
-        yield TREE
+        yield SOURCE_TREE
         return
     try:
         commit = _git("rev-parse", "--verify", f"{rev}^{{commit}}")
-    except Trouble:
-        raise Trouble(f"{rev}: no such revision") from None
+    except RunError:
+        raise RunError(f"{rev}: no such revision") from None
     folder = Path(tempfile.mkdtemp(prefix="lab-build-"))
     _git("worktree", "add", "--detach", "--force", str(folder), commit)
     try:
--- a/swiftthread/lab/capacity.py
+++ b/swiftthread/lab/capacity.py
@@ -3,10 +3,10 @@
 import json
 from pathlib import Path
 
-from swiftthread.lab import records, scripts
+from swiftthread.lab import incident_file, run_records
 from swiftthread.lab.runner import Run
 
-TEXT = """
+INCIDENT_TEMPLATE = """
 format = 1
 title = "{clients} closed-loop clients, one destination, two fast endpoints"
 sees = "How many events a second one node ends, and at what cost."
@@ -34,34 +34,36 @@
 room = 4000
 sockets = 4096
 """
-CLIENTS_EACH = 128  # clients in one process of the load tool, so that none is the bottleneck
+CLIENTS_PER_PROCESS = 128  # clients in one process of the load tool, so that none is the bottleneck
 
 
-async def measure(counts, seconds, into, say):
+async def measure(counts, seconds, into, report):
     """For each number of clients one run of the floor and one of the node, beside each other in time."""
     rows = []
     for clients in counts:
-        processes = -(-clients // CLIENTS_EACH)
-        script = scripts.parse(TEXT.format(clients=clients, seconds=seconds, processes=processes), "limits")
+        processes = -(-clients // CLIENTS_PER_PROCESS)
+        incident = incident_file.parse(
+            INCIDENT_TEMPLATE.format(clients=clients, seconds=seconds, processes=processes), "limits"
+        )
         for node in ("floor", "swiftthread"):
             folder = Path(into) / f"{node}-{clients}"
             cores = list(range(2 + processes))
-            row = await Run(script, 1, node, folder, cpus=cores).make()
+            row = await Run(incident, 1, node, folder, cpus=cores).execute()
             row |= {"clients": clients} | _rates(folder, seconds)
             rows.append(row)
-            say(f"{node} at {clients} clients: {row['acked_per_s']:.0f} acked a second")
-            with open(Path(into) / "limits.jsonl", "a", encoding="utf-8") as kept:
-                kept.write(json.dumps(row) + "\n")
+            report(f"{node} at {clients} clients: {row['acked_per_s']:.0f} acked a second")
+            with open(Path(into) / "limits.jsonl", "a", encoding="utf-8") as results_file:
+                results_file.write(json.dumps(row) + "\n")
     return rows
 
 
 def _rates(folder, seconds):
-    """Acks a second while clients handed in, and the CPU spent until the last of them."""
-    rows = records.read(*sorted(folder.glob("*.rows")))
-    first = min(row.at for row in rows if isinstance(row, records.HandedIn))
-    acks = [row.at for row in rows if isinstance(row, records.Replied) and row.said == "done"]
-    until = first + 1000.0 * seconds
-    inside = sum(at <= until for at in acks)
+    """Acks a second while clients submitted, and the CPU spent until the last of them."""
+    rows = run_records.read_records(*sorted(folder.glob("*.rows")))
+    first = min(row.at for row in rows if isinstance(row, run_records.EventSubmitted))
+    acks = [row.at for row in rows if isinstance(row, run_records.ReplySent) and row.outcome == "done"]
+    ends_at = first + 1000.0 * seconds
+    inside = sum(at <= ends_at for at in acks)
     return {"acked_per_s": inside / seconds, "acked_after": len(acks) - inside}
 
 
--- a/swiftthread/lab/cli.py
+++ b/swiftthread/lab/cli.py
@@ -13,10 +13,10 @@
 import anyio
 import click
 
-from swiftthread.lab import scripts
+from swiftthread.lab import incident_file
 
 
-class Unusable(click.ClickException):
+class InvalidInput(click.ClickException):
     """Bad input: lines on standard error, and 2."""
 
     exit_code = 2
@@ -25,11 +25,11 @@
         click.echo(f"swiftthread.lab: {self.message}", err=True)
 
 
-def script_of(path):
+def load_incident(path):
     try:
-        return scripts.load(path)
-    except scripts.Faulty as fault:
-        raise Unusable(str(fault)) from None
+        return incident_file.load(path)
+    except incident_file.IncidentError as fault:
+        raise InvalidInput(str(fault)) from None
 
 
 @click.group()
@@ -38,63 +38,63 @@
 
 
 @main.command("list")
-def list_scripts():
+def list_incidents():
     """The incidents that are shipped."""
-    for name in scripts.shipped_names():
-        click.echo(f"{name:24} {scripts.load(name).title}")
+    for name in incident_file.shipped_names():
+        click.echo(f"{name:24} {incident_file.load(name).title}")
 
 
 @main.command()
 @click.argument("paths", nargs=-1, required=True)
 def check(paths):
-    """Read scripts and say everything that is wrong with them."""
+    """Read incident files and report everything that is wrong with them."""
     faults = []
     for path in paths:
         try:
-            scripts.load(path)
-        except scripts.Faulty as fault:
+            incident_file.load(path)
+        except incident_file.IncidentError as fault:
             faults.append(str(fault))
     if faults:
-        raise Unusable("\n".join(faults))
+        raise InvalidInput("\n".join(faults))
     click.echo(f"{len(paths)} usable")
 
 
 @main.command()
 @click.argument("path")
 def show(path):
-    """What a script does and what a reader should see."""
-    script = script_of(path)
-    click.echo(f"{script.title}\n\n{script.sees.strip()}\n")
-    for step in script.step:
-        more = f" for {step.for_ms:g} ms" if step.for_ms else ""
-        click.echo(f"{step.at_ms:9.0f} ms  {step.what} {step.on}{more}")
+    """What an incident does and what a reader should see."""
+    incident = load_incident(path)
+    click.echo(f"{incident.title}\n\n{incident.sees.strip()}\n")
+    for step in incident.step:
+        duration = f" for {step.for_ms:g} ms" if step.for_ms else ""
+        click.echo(f"{step.at_ms:9.0f} ms  {step.what} {step.on}{duration}")
 
 
-def carried_out(work, *args):
+def run_async(coroutine_function, *args):
     """Run it with Ctrl-C and SIGTERM both as an orderly end of everything that was started."""
-    from swiftthread.lab.runner import Trouble
+    from swiftthread.lab.runner import RunError
 
     signal.signal(
         signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT)
     )  # the loop turns that into a cancel
     try:
-        return anyio.run(work, *args)
-    except* Trouble as faults:
+        return anyio.run(coroutine_function, *args)
+    except* RunError as faults:
         fault = faults
         while isinstance(fault, BaseExceptionGroup):
             fault = fault.exceptions[0]
-        raise Unusable(str(fault)) from None
+        raise InvalidInput(str(fault)) from None
     except* OSError as faults:
         fault = faults
         while isinstance(fault, BaseExceptionGroup):
             fault = fault.exceptions[0]
-        raise Unusable(f"{fault.filename or 'the system'}: {fault.strerror}") from None
+        raise InvalidInput(f"{fault.filename or 'the system'}: {fault.strerror}") from None
     except* KeyboardInterrupt:
         click.echo("swiftthread.lab: ended on request", err=True)
         raise SystemExit(130) from None
 
 
-def told_of(result):
+def format_result(result):
     """A run's result as lines for a terminal."""
     counts = result["counts"]
     yield (
@@ -103,12 +103,12 @@
     )
     yield (
         f"  {counts.get('events', 0)} events, {counts.get('acked', 0)} acked, "
-        f"{counts.get('refused', 0)} refused at "
-        f"the door, {counts.get('handed_back', 0)} handed back, {counts.get('given_up', 0)} given up"
+        f"{counts.get('refused', 0)} rejected "
+        f"at submission, {counts.get('handed_back', 0)} handed back, {counts.get('given_up', 0)} given up"
     )
     hand_in = result["hand_in_ms"]
     yield (
-        f"  hand-in p50 {hand_in['p50']:.1f} ms, p99 {hand_in['p99']:.1f} ms; "
+        f"  submission p50 {hand_in['p50']:.1f} ms, p99 {hand_in['p99']:.1f} ms; "
         f"CPU {result['cpu_ms_per_acked']:.2f} "
         f"ms per acked event; RSS {result['rss_mib']:.0f} MiB"
     )
@@ -120,7 +120,7 @@
 
 @main.command()
 @click.argument("path")
-@click.option("--seed", type=int, help="Of all chance; the script's own by default.")
+@click.option("--seed", type=int, help="Of all chance; the incident's own by default.")
 @click.option(
     "--node",
     default="swiftthread",
@@ -133,32 +133,34 @@
 def run(path, seed, node, rev, into, report):
     """Play one incident, judge it, and write a report."""
     from swiftthread.lab import builds
-    from swiftthread.lab.runner import KINDS, Run
+    from swiftthread.lab.runner import NODE_KINDS, Run
 
-    script = script_of(path)
-    if node not in KINDS and not node.startswith("exec:"):
-        raise Unusable(f"--node {node}: is none of {', '.join(KINDS)} and no exec:COMMAND")
+    incident = load_incident(path)
+    if node not in NODE_KINDS and not node.startswith("exec:"):
+        raise InvalidInput(f"--node {node}: is none of {', '.join(NODE_KINDS)} and no exec:COMMAND")
     folder = into or Path(tempfile.mkdtemp(prefix="lab-"))
 
-    live = sys.stderr.isatty()
+    is_terminal = sys.stderr.isatty()
 
     def progress(text):
-        if live:
+        if is_terminal:
             click.echo(f"\r{text:40}", err=True, nl=False)
 
     async def play():
-        with builds.tree_of(rev) as tree:
-            return await Run(script, script.seed if seed is None else seed, node, folder, tree).make(progress)
+        with builds.source_tree(rev) as tree:
+            return await Run(incident, incident.seed if seed is None else seed, node, folder, tree).execute(
+                progress
+            )
 
-    result = carried_out(play)
+    result = run_async(play)
     progress("")
     progress("\r")
-    for line in told_of(result):
+    for line in format_result(result):
         click.echo(line)
     if report:
-        from swiftthread.lab.report import write
+        from swiftthread.lab.report import write_report
 
-        click.echo(f"  report: {write(folder)}")
+        click.echo(f"  report: {write_report(folder)}")
     sys.exit(1 if result["breaches"] else 0)
 
 
@@ -169,7 +171,7 @@
     "--node", "nodes", multiple=True, default=("swiftthread",), show_default=True, help="May be repeated."
 )
 @click.option("--rev", "revs", multiple=True, help="Git revisions beside this tree; may be repeated.")
-@click.option("--load", "loads", multiple=True, type=float, help="x the script's rate; may be repeated.")
+@click.option("--load", "loads", multiple=True, type=float, help="x the incident's rate; may be repeated.")
 @click.option("--into", type=click.Path(path_type=Path), default=Path("lab-runs"), show_default=True)
 @click.option("--jobs", type=int, help="Runs at a time; by default as many as the cores allow.")
 def matrix(paths, seeds, nodes, revs, loads, into, jobs):
@@ -177,9 +179,9 @@
     from swiftthread.lab import experiment
     from swiftthread.lab.report import write_matrix
 
-    found = {path: script_of(path) for path in paths}
-    cells = experiment.cells(found, loads or (1.0,), range(1, seeds + 1), nodes, ("tree", *revs))
-    rows = carried_out(experiment.play, cells, into, jobs, lambda text: click.echo(text, err=True))
+    incidents = {path: load_incident(path) for path in paths}
+    cells = experiment.cells(incidents, loads or (1.0,), range(1, seeds + 1), nodes, ("tree", *revs))
+    rows = run_async(experiment.play, cells, into, jobs, lambda text: click.echo(text, err=True))
     for line in experiment.summary(rows):
         click.echo(line)
     click.echo(f"report: {write_matrix(rows, into)}")
@@ -196,23 +198,23 @@
     """What changed from a git revision to this tree, and whether it is more than chance."""
     from swiftthread.lab import experiment
 
-    found = {path: script_of(path) for path in paths or scripts.shipped_names()}
-    cells = experiment.cells(found, (1.0,), range(1, seeds + 1), ("swiftthread",), (rev, "tree"))
-    rows = carried_out(experiment.play, cells, into, jobs, lambda text: click.echo(text, err=True))
-    for line in experiment.compared(rows, rev, "tree"):
+    incidents = {path: load_incident(path) for path in paths or incident_file.shipped_names()}
+    cells = experiment.cells(incidents, (1.0,), range(1, seeds + 1), ("swiftthread",), (rev, "tree"))
+    rows = run_async(experiment.play, cells, into, jobs, lambda text: click.echo(text, err=True))
+    for line in experiment.comparison(rows, rev, "tree"):
         click.echo(line)
 
 
 @main.command()
 @click.option("--clients", "counts", multiple=True, type=int, default=(8, 32, 128, 512), show_default=True)
-@click.option("--seconds", default=6.0, show_default=True, help="Of hand-ins for each row.")
+@click.option("--seconds", default=6.0, show_default=True, help="Of submissions for each row.")
 @click.option("--into", type=click.Path(path_type=Path))
 def limits(counts, seconds, into):
     """One node's limits at closed-loop clients, beside the floor program."""
     from swiftthread.lab import capacity
 
     into = into or Path(tempfile.mkdtemp(prefix="lab-limits-"))
-    rows = carried_out(capacity.measure, counts, seconds, into, lambda text: click.echo(text, err=True))
+    rows = run_async(capacity.measure, counts, seconds, into, lambda text: click.echo(text, err=True))
     for line in capacity.table(rows):
         click.echo(line)
 
@@ -221,12 +223,12 @@
 @click.argument("folder", type=click.Path(exists=True, path_type=Path))
 def report(folder):
     """Write the report of a run's folder anew."""
-    from swiftthread.lab.report import write
+    from swiftthread.lab.report import write_report
 
     try:
-        click.echo(write(folder))
+        click.echo(write_report(folder))
     except OSError as fault:
-        raise Unusable(f"{fault.filename}: {fault.strerror}") from None
+        raise InvalidInput(f"{fault.filename}: {fault.strerror}") from None
 
 
 @main.command()
@@ -235,11 +237,11 @@
     """Judge the rows of a run's folder anew."""
     import msgspec
 
-    from swiftthread.lab import records, referee
+    from swiftthread.lab import referee, run_records
 
-    script = msgspec.json.decode((folder / "script.json").read_bytes(), type=scripts.Script)
-    case, breaches = referee.judge(script, records.read(*sorted(folder.glob("*.rows"))))
-    click.echo(f"service {referee.Service(case).measure():.4f}, {len(breaches)} broken rules")
+    incident = msgspec.json.decode((folder / "script.json").read_bytes(), type=incident_file.Incident)
+    evidence, breaches = referee.judge(incident, run_records.read_records(*sorted(folder.glob("*.rows"))))
+    click.echo(f"service {referee.ServiceMeasure(evidence).measure():.4f}, {len(breaches)} broken rules")
     for breach in breaches:
         click.echo(f"{breach.rule}: {breach.text}")
     sys.exit(1 if breaches else 0)
@@ -248,15 +250,15 @@
 # Parts of a run, as processes of their own.
 
 
-def _script_file(path):
+def _load_incident_file(path):
     import msgspec
 
     if path.endswith(".json"):
-        return msgspec.json.decode(Path(path).read_bytes(), type=scripts.Script)
-    return script_of(path)
+        return msgspec.json.decode(Path(path).read_bytes(), type=incident_file.Incident)
+    return load_incident(path)
 
 
-def _still():
+def _disable_garbage_collection():
     """No collection of garbage while a run lasts: it would look like a node that stood still."""
     gc.collect()
     gc.freeze()
@@ -274,9 +276,9 @@
     """
     from swiftthread.lab import emulator
 
-    script = _script_file(path)
-    _still()
-    asyncio.run(emulator.serve(script, seed, rows))
+    incident = _load_incident_file(path)
+    _disable_garbage_collection()
+    asyncio.run(emulator.serve(incident, seed, rows))
 
 
 @main.command(hidden=True)
@@ -288,9 +290,9 @@
     """One process of clients of a run."""
     from swiftthread.lab import load
 
-    script = _script_file(path)
-    _still()
-    asyncio.run(load.serve(script, seed, part, script.load.processes, rows))
+    incident = _load_incident_file(path)
+    _disable_garbage_collection()
+    asyncio.run(load.serve(incident, seed, part, incident.load.processes, rows))
 
 
 @main.command(hidden=True)
@@ -302,6 +304,6 @@
 
         floor.main()
     else:
-        from swiftthread.lab import relay as relays
+        from swiftthread.lab import relay as baselines
 
-        relays.main(relays.KINDS[kind])
+        baselines.main(baselines.NODE_KINDS[kind])
--- a/swiftthread/lab/emulator.py
+++ b/swiftthread/lab/emulator.py
@@ -20,11 +20,16 @@
 
 import httptools
 
-from swiftthread.lab import model, records
-from swiftthread.lab.records import clock
-
-STATUS = {model.DONE: 200, model.ERROR: 500, model.FULL: 429, model.SHUT: 503}
-REASON = {
+from swiftthread.lab import receiver_model, run_records
+from swiftthread.lab.run_records import monotonic_ms
+
+STATUS_BY_OUTCOME = {
+    receiver_model.DONE: 200,
+    receiver_model.ERROR: 500,
+    receiver_model.RATE_LIMITED: 429,
+    receiver_model.UNAVAILABLE: 503,
+}
+REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
     204: "No Content",
@@ -34,13 +39,13 @@
     500: "Internal Server Error",
     503: "Service Unavailable",
 }
-LAG_EVERY_MS = 10.0  # ms between two looks at the loop's own lag
-WATCH_LINE_S = 2.0  # s between empty lines on a watch, the protocol's
-SIP, SIP_MS = 64, 20.0  # bytes and ms of a slow reader or writer
-AT_SOCKETS = ("reset_before", "slow_read", "slow_write")
+LAG_CHECK_INTERVAL_MS = 10.0  # ms between two looks at the loop's own lag
+WATCH_HEARTBEAT_INTERVAL_S = 2.0  # s between empty lines on a watch, the protocol's
+SLOW_IO_CHUNK_BYTES, SLOW_IO_INTERVAL_MS = 64, 20.0  # bytes and ms of a slow reader or writer
+SOCKET_FAULTS = ("reset_before", "slow_read", "slow_write")
 
 
-def bound():
+def bind_unused_port():
     """A socket with a port of its own, not listening yet: connects are refused.
 
     The port is bound by its number, so that it stays ours while the socket listens, stops and listens again.
@@ -61,20 +66,23 @@
     raise OSError(errno.EADDRINUSE, "no free port on loopback")
 
 
-def answer_bytes(status, headers=(), body=b""):
+def encode_response(status, headers=(), body=b""):
     head = "".join(f"{name}: {value}\r\n" for name, value in headers)
-    return f"HTTP/1.1 {status} {REASON[status]}\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
+    return (
+        f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n{head}Content-Length: {len(body)}\r\n\r\n".encode()
+        + body
+    )
 
 
-class Talk(asyncio.Protocol):
-    """One connection that speaks HTTP/1.1 as a server; `request(...)` is the subclass's."""
+class HttpServerConnection(asyncio.Protocol):
+    """One connection that speaks HTTP/1.1 as a server; `on_request(...)` is the subclass's."""
 
     def connection_made(self, transport):
         self.transport, self.parser = transport, httptools.HttpRequestParser(self)
-        self.began, self.headers, self.body, self.target = 0.0, {}, bytearray(), ""
+        self.first_byte_at, self.headers, self.body, self.target = 0.0, {}, bytearray(), ""
 
     def data_received(self, data):
-        self.began = self.began or clock()
+        self.first_byte_at = self.first_byte_at or monotonic_ms()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserCallbackError:
@@ -95,8 +103,8 @@
         self.body += body
 
     def on_message_complete(self):
-        began, self.began = self.began, 0.0
-        self.request(self.parser.get_method().decode(), began)
+        first_byte_at, self.first_byte_at = self.first_byte_at, 0.0
+        self.on_request(self.parser.get_method().decode(), first_byte_at)
 
     def reset(self):
         """An RST now, whatever waits to be written."""
@@ -106,88 +114,95 @@
         self.transport.abort()
 
 
-class Callee(Talk):
+class EndpointConnection(HttpServerConnection):
     """A connection to an endpoint."""
 
-    def __init__(self, door):
-        self.door, self.call, self.counted = door, None, False
+    def __init__(self, listener):
+        self.listener, self.call, self.is_counted = listener, None, False
 
     def connection_made(self, transport):
         super().connection_made(transport)
-        self.door.talks[self] = True
-        self.counted = self.door.world.connects(self.door.endpoint)
-        if not self.counted:
+        self.listener.connections[self] = True
+        self.is_counted = self.listener.receivers.open_connection(self.listener.endpoint)
+        if not self.is_counted:
             self.reset()
-        elif self.door.mood.get("slow_read"):
-            self._sip()
+        elif self.listener.active_faults.get("slow_read"):
+            self._throttle_reading()
 
-    def _sip(self):
+    def _throttle_reading(self):
         """Take a little, then look away: the caller's writes find a full window."""
         self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        self.transport.max_size = SIP
+        self.transport.max_size = SLOW_IO_CHUNK_BYTES
         self.transport.pause_reading()
-        asyncio.get_running_loop().call_later(SIP_MS / 1000.0, self._resume)
+        asyncio.get_running_loop().call_later(SLOW_IO_INTERVAL_MS / 1000.0, self._resume)
 
     def _resume(self):
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
     def data_received(self, data):
-        if self.door.mood.get("reset_before") and self.door.rng.random() < self.door.mood["reset_before"]:
+        if (
+            self.listener.active_faults.get("reset_before")
+            and self.listener.rng.random() < self.listener.active_faults["reset_before"]
+        ):
             self.reset()
             return
         super().data_received(data)
-        if self.door.mood.get("slow_read") and not self.transport.is_closing():
-            self._sip()
+        if self.listener.active_faults.get("slow_read") and not self.transport.is_closing():
+            self._throttle_reading()
 
-    def request(self, method, began):
-        door, now = self.door, clock()
+    def on_request(self, method, first_byte_at):
+        listener, now = self.listener, monotonic_ms()
         if method == "GET":
-            door.emulator.book.write(records.Probed(now, door.endpoint.name, door.endpoint.dest.number))
-            status = 200 if not (door.endpoint.fails or door.endpoint.draining) else 503
-            door.endpoint.dest.pushed_over(now, 1.0)
-            if not door.endpoint.out():
-                self.transport.write(answer_bytes(status))
+            listener.emulator.record_writer.write(
+                run_records.HealthCheckReceived(
+                    now, listener.endpoint.name, listener.endpoint.destination.number
+                )
+            )
+            status = 200 if not (listener.endpoint.failure_shares or listener.endpoint.is_draining) else 503
+            listener.endpoint.destination.record_load(now, 1.0)
+            if not listener.endpoint.is_down():
+                self.transport.write(encode_response(status))
             return
         if self.target == "/receive-many":
             try:
-                idents = [
+                event_ids = [
                     row["id"] for row in json.loads(self.body) if base64.b64decode(row["body"]) is not None
                 ]
             except (ValueError, KeyError, TypeError):
-                self.transport.write(answer_bytes(400))
+                self.transport.write(encode_response(400))
                 return
         else:
-            idents = [self.headers.get("x-txn", "")]
-        door.emulator.called(self, idents, began, now)
+            event_ids = [self.headers.get("x-txn", "")]
+        listener.emulator.on_call_received(self, event_ids, first_byte_at, now)
 
     def connection_lost(self, exc):
-        self.door.talks.pop(self, None)
-        if self.counted:
-            self.door.world.disconnects(self.door.endpoint)
+        self.listener.connections.pop(self, None)
+        if self.is_counted:
+            self.listener.receivers.close_connection(self.listener.endpoint)
         if self.call is not None:
-            self.door.emulator.left(self)
+            self.listener.emulator.on_caller_disconnected(self)
 
 
-class Door:
+class EndpointListener:
     """The listening socket of one endpoint and its connections; owner of both."""
 
     def __init__(self, emulator, endpoint):
-        self.emulator, self.world, self.endpoint, self.rng = (
+        self.emulator, self.receivers, self.endpoint, self.rng = (
             emulator,
-            emulator.world,
+            emulator.receivers,
             endpoint,
-            emulator.world.rng,
+            emulator.receivers.rng,
         )
-        self.talks, self.mood, self.fillers = {}, {}, []
-        self.sock, self.loop, self.listening = bound(), asyncio.get_running_loop(), False
+        self.connections, self.active_faults, self.backlog_fillers = {}, {}, []
+        self.sock, self.loop, self.is_listening = bind_unused_port(), asyncio.get_running_loop(), False
         self.address = "{}:{}".format(*self.sock.getsockname())
 
     def open(self):
-        if not self.listening:
+        if not self.is_listening:
             self.sock.listen(1024)
             self.loop.add_reader(self.sock, self._accept)
-            self.listening = True
+            self.is_listening = True
 
     def _accept(self):
         for _ in range(64):
@@ -196,407 +211,470 @@
             except OSError:
                 return
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.emulator.spawn(self.loop.connect_accepted_socket(lambda: Callee(self), sock))
+            self.emulator.spawn(self.loop.connect_accepted_socket(lambda: EndpointConnection(self), sock))
 
-    def refuse(self):
+    def refuse_connections(self):
         """No listener, and what is open is reset."""
-        self.vanish_ends()
-        if self.listening:
+        self.end_silence()
+        if self.is_listening:
             self.loop.remove_reader(self.sock)
             self.sock.shutdown(socket.SHUT_RDWR)  # Linux: it stops to listen and keeps its port
-            self.listening = False
-        for talk in list(self.talks):
-            talk.reset()
+            self.is_listening = False
+        for connection in list(self.connections):
+            connection.reset()
 
-    def vanish(self):
+    def go_silent(self):
         """Connects never come up: the queue of a listener that nobody serves is full.
 
         What is open stays open.
         """
-        if self.listening:
+        if self.is_listening:
             self.loop.remove_reader(self.sock)
             self.sock.listen(0)
-            self.listening = False
+            self.is_listening = False
             for _ in range(3):
                 filler = socket.socket()
                 filler.setblocking(False)
                 filler.connect_ex(self.sock.getsockname())
-                self.fillers.append(filler)
-        for talk in self.talks:
-            talk.transport.pause_reading()
+                self.backlog_fillers.append(filler)
+        for connection in self.connections:
+            connection.transport.pause_reading()
 
-    def vanish_ends(self):
+    def end_silence(self):
         """It is back: what was open is reset."""
-        if self.fillers:
-            for filler in self.fillers:
+        if self.backlog_fillers:
+            for filler in self.backlog_fillers:
                 filler.close()
-            self.fillers = []
-            for talk in list(self.talks):
-                talk.reset()
+            self.backlog_fillers = []
+            for connection in list(self.connections):
+                connection.reset()
 
     def close(self):
-        self.refuse()
+        self.refuse_connections()
         self.sock.close()
 
 
-class Platform(Talk):
+class PlatformConnection(HttpServerConnection):
     """A connection to one node's discovery: the list, the watch, the notices."""
 
-    def __init__(self, agent):
-        self.agent = agent
+    def __init__(self, discovery):
+        self.discovery = discovery
 
-    def request(self, method, began):
-        agent = self.agent
+    def on_request(self, method, first_byte_at):
+        discovery = self.discovery
         if method == "POST" and self.target == "/status":
             for line in bytes(self.body).splitlines():
                 row = json.loads(line)
-                agent.emulator.noticed(
-                    agent.node, row["message"], row["outcome"], row.get("retry_in_ms", 0.0)
+                discovery.emulator.on_notification(
+                    discovery.node, row["message"], row["outcome"], row.get("retry_in_ms", 0.0)
                 )
-            self.transport.write(answer_bytes(204))
-        elif agent.silent:
+            self.transport.write(encode_response(204))
+        elif discovery.is_silent:
             return
         elif "watch=1" in self.target:
             self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            agent.watches[self] = True
-            self.tell(agent.page(True))
+            discovery.watches[self] = True
+            self.send_page(discovery.endpoint_list(True))
         else:
-            self.transport.write(answer_bytes(200, body=json.dumps(agent.page(True)).encode()))
+            self.transport.write(
+                encode_response(200, body=json.dumps(discovery.endpoint_list(True)).encode())
+            )
 
-    def tell(self, page):
-        data = (json.dumps(page) if page else "").encode() + b"\n"
+    def send_page(self, endpoint_list):
+        data = (json.dumps(endpoint_list) if endpoint_list else "").encode() + b"\n"
         self.transport.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def connection_lost(self, exc):
-        self.agent.watches.pop(self, None)
+        self.discovery.watches.pop(self, None)
 
 
-class Agent:
+class DiscoveryServer:
     """Discovery as one node sees it; it learns changes late, by a delay of its own."""
 
     def __init__(self, emulator, node, delay_ms):
-        self.emulator, self.node, self.delay = emulator, node, delay_ms
-        self.entries, self.version, self.silent, self.watches = {}, 1, False, {}
+        self.emulator, self.node, self.delay_ms = emulator, node, delay_ms
+        self.entries, self.version, self.is_silent, self.watches = {}, 1, False, {}
 
     async def open(self):
-        self.server = await asyncio.get_running_loop().create_server(partial(Platform, self), "127.0.0.1", 0)
+        self.server = await asyncio.get_running_loop().create_server(
+            partial(PlatformConnection, self), "127.0.0.1", 0
+        )
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
 
-    def page(self, whole, names=()):
-        rows = self.entries.values() if whole else [self.entries[name] for name in names]
-        return {"version": self.version, "full": whole, "servers": list(rows)}
+    def endpoint_list(self, is_full, names=()):
+        rows = self.entries.values() if is_full else [self.entries[name] for name in names]
+        return {"version": self.version, "full": is_full, "servers": list(rows)}
 
-    def learn(self, rows):
-        """Changes come: (endpoint's entry) each; they count as told once they are written."""
+    def apply_changes(self, rows):
+        """Changes come: (endpoint's entry) each; they count as announced once they are written."""
         self.version += 1
         for row in rows:
             self.entries[row["id"]] = row
-        if not self.silent:
+        if not self.is_silent:
             for watch in self.watches:
-                watch.tell(self.page(False, [row["id"] for row in rows]))
+                watch.send_page(self.endpoint_list(False, [row["id"] for row in rows]))
         for row in rows:
-            if not self.silent:
-                self.emulator.book.write(records.Told(clock(), self.node, row["id"], row["state"]))
+            if not self.is_silent:
+                self.emulator.record_writer.write(
+                    run_records.EndpointStateAnnounced(monotonic_ms(), self.node, row["id"], row["state"])
+                )
             if row["state"] == "DELETED":
                 del self.entries[row["id"]]
 
     def pause(self, seconds):
-        self.silent = True
+        self.is_silent = True
         asyncio.get_running_loop().call_later(seconds, self._resume)
 
     def _resume(self):
-        self.silent = False
+        self.is_silent = False
         for name, row in self.entries.items():
-            self.emulator.book.write(records.Told(clock(), self.node, name, row["state"]))
-        self.cut()  # what it missed comes with a new watch
+            self.emulator.record_writer.write(
+                run_records.EndpointStateAnnounced(monotonic_ms(), self.node, name, row["state"])
+            )
+        self.drop_watches()  # what it missed comes with a new watch
 
-    def cut(self):
+    def drop_watches(self):
         for watch in list(self.watches):
             watch.transport.abort()
 
-    def beat(self):
-        if not self.silent:
+    def send_heartbeats(self):
+        if not self.is_silent:
             for watch in self.watches:
-                watch.tell(None)
+                watch.send_page(None)
 
 
-class Feed(Talk):
-    """A client's connection on which events handed back are told, one JSON line each."""
+class NotificationSubscriber(HttpServerConnection):
+    """A client's connection that is notified of events handed back, one JSON line each."""
 
     def __init__(self, emulator):
         self.emulator = emulator
 
-    def request(self, method, began):
-        self.emulator.feeds[self] = True
+    def on_request(self, method, first_byte_at):
+        self.emulator.subscribers[self] = True
 
     def connection_lost(self, exc):
-        self.emulator.feeds.pop(self, None)
+        self.emulator.subscribers.pop(self, None)
 
 
 class Emulator:
-    """Owner of all doors and agents of a run."""
+    """Owner of all endpoint listeners and discovery servers of a run."""
 
-    def __init__(self, script, seed, book):
-        self.script, self.book = script, book
+    def __init__(self, incident, seed, record_writer):
+        self.incident, self.record_writer = incident, record_writer
         self.rng = random.Random(seed)
-        self.world = model.World(self.rng, self._log)
-        self.doors, self.agents, self.feeds, self.talks = {}, [], {}, {}
-        self.timer, self.calls, self.jobs, self.lag, self.worst_lag = None, count(1), set(), 0.0, 0.0
+        self.receivers = receiver_model.ReceiverModel(self.rng, self._on_model_event)
+        self.listeners, self.discovery_servers, self.subscribers, self.pending_calls = {}, [], {}, {}
+        self.timer, self.call_numbers, self.tasks, self.max_lag_ms, self.worst_lag_ms = (
+            None,
+            count(1),
+            set(),
+            0.0,
+            0.0,
+        )
 
-    def _log(self, at, what, *words):
+    def _on_model_event(self, at, what, *details):
         if what in ("falls", "back"):
-            dest = self.world.dests[words[0]]
-            self.book.write(records.Turned(at, dest.number, what, dest.capacity()))
+            destination = self.receivers.destinations[details[0]]
+            self.record_writer.write(
+                run_records.DestinationChanged(at, destination.number, what, destination.capacity())
+            )
 
-    def spawn(self, job):
-        task = asyncio.ensure_future(job)
-        self.jobs.add(task)
-        task.add_done_callback(self._over)
+    def spawn(self, coroutine):
+        task = asyncio.ensure_future(coroutine)
+        self.tasks.add(task)
+        task.add_done_callback(self._on_task_done)
 
-    def _over(self, task):
-        self.jobs.discard(task)
+    def _on_task_done(self, task):
+        self.tasks.discard(task)
         if not task.cancelled() and task.exception() and not isinstance(task.exception(), OSError):
             print(f"emulator: {task.exception()!r}", file=sys.stderr)
 
     async def open(self):
         """Everything listens; where, as a page for whoever starts the nodes."""
-        script, rules = self.script, self.script.rules
-        for name, number, table, hall, spare in script.endpoints():
-            dest = self.world.dests.get(number)
-            if dest is None:
-                limit = model.Limit(table.rate_per_s, table.span_ms, table.burst, table.refusals_use)
-                dest = model.Destination(
+        incident, rules = self.incident, self.incident.rules
+        for name, number, settings, zone, spare in incident.endpoints():
+            destination = self.receivers.destinations.get(number)
+            if destination is None:
+                limit = receiver_model.RateLimit(
+                    settings.rate_per_s, settings.span_ms, settings.burst, settings.refusals_use
+                )
+                destination = receiver_model.Destination(
                     number,
                     limit,
                     rules.cold_from,
                     rules.warm_up_ms,
                     rules.fall_multiple,
                     rules.fall_ms,
-                    table.tells_wait,
+                    settings.tells_wait,
                 )
-            service = model.service_of(table.service, table.service_ms, table.cv, self.rng)
-            endpoint = self.world.add(
-                model.Endpoint(
-                    name, dest, hall, table.workers, table.queue, table.connections, service, table.service_ms
+            service = receiver_model.service_time_sampler(
+                settings.service, settings.service_ms, settings.cv, self.rng
+            )
+            endpoint = self.receivers.add(
+                receiver_model.Endpoint(
+                    name,
+                    destination,
+                    zone,
+                    settings.workers,
+                    settings.queue,
+                    settings.connections,
+                    service,
+                    settings.service_ms,
                 )
             )
-            self.doors[name] = Door(self, endpoint)
-            endpoint.gone = spare
+            self.listeners[name] = EndpointListener(self, endpoint)
+            endpoint.is_removed = spare
             if not spare:
-                self.doors[name].open()
-        rates = {
-            number: table.rate_per_s if table.listed else 0.0 for _, number, table, _, _ in script.endpoints()
+                self.listeners[name].open()
+        weights = {
+            number: settings.rate_per_s if settings.listed else 0.0
+            for _, number, settings, _, _ in incident.endpoints()
         }
-        self.entry = {
+        self.entries_by_name = {
             name: {
                 "id": name,
-                "addr": self.doors[name].address,
-                "zone": hall,
+                "addr": self.listeners[name].address,
+                "zone": zone,
                 "kind": "plain",
                 "cell": number,
                 "state": "SERVING",
-                "weight": rates[number],
+                "weight": weights[number],
                 "started_ms": 0,
             }
-            for name, number, table, hall, _ in script.endpoints()
+            for name, number, settings, zone, _ in incident.endpoints()
         }
-        spares = {row[0] for row in script.endpoints() if row[4]}
-        for node in range(script.fleet.nodes):
-            agent = Agent(self, f"n{node}", rules.list_delay_ms * self.rng.uniform(0.5, 1.5))
-            agent.entries = {name: row for name, row in self.entry.items() if name not in spares}
-            await agent.open()
-            self.agents.append(agent)
-        self.feed = await asyncio.get_running_loop().create_server(lambda: Feed(self), "127.0.0.1", 0)
+        spares = {row[0] for row in incident.endpoints() if row[4]}
+        for node in range(incident.fleet.nodes):
+            discovery = DiscoveryServer(self, f"n{node}", rules.list_delay_ms * self.rng.uniform(0.5, 1.5))
+            discovery.entries = {
+                name: row for name, row in self.entries_by_name.items() if name not in spares
+            }
+            await discovery.open()
+            self.discovery_servers.append(discovery)
+        self.notification_server = await asyncio.get_running_loop().create_server(
+            lambda: NotificationSubscriber(self), "127.0.0.1", 0
+        )
         return {
-            "discovery": [agent.address for agent in self.agents],
-            "known": self.agents[0].page(True),
-            "feed": "{}:{}".format(*self.feed.sockets[0].getsockname()),
+            "discovery": [discovery.address for discovery in self.discovery_servers],
+            "known": self.discovery_servers[0].endpoint_list(True),
+            "feed": "{}:{}".format(*self.notification_server.sockets[0].getsockname()),
         }
 
     async def play(self, t0):
-        """The script's timeline from this moment on, with a look at the loop's own lag, until cancelled."""
+        """The incident's timeline from this moment on, with a look at the loop's own lag, until cancelled."""
         loop = asyncio.get_running_loop()
-        for step in self.script.step:
-            loop.call_later(max(0.0, t0 + step.at_ms - clock()) / 1000.0, self._step, step)
-        beat_at, said_at = clock(), clock()
+        for step in self.incident.step:
+            loop.call_later(max(0.0, t0 + step.at_ms - monotonic_ms()) / 1000.0, self._run_step, step)
+        heartbeat_at, reported_at = monotonic_ms(), monotonic_ms()
         while True:
-            due = clock() + LAG_EVERY_MS
-            await asyncio.sleep(LAG_EVERY_MS / 1000.0)
-            now = clock()
-            self.lag = max(self.lag, now - due)
-            if now - said_at >= 250.0:
-                self.book.write(records.Lagged(now, "emulator", self.lag))
-                self.worst_lag, self.lag, said_at = max(self.worst_lag, self.lag), 0.0, now
-            if now - beat_at >= 1000.0 * WATCH_LINE_S:
-                beat_at = now
-                for agent in self.agents:
-                    agent.beat()
+            expected_at = monotonic_ms() + LAG_CHECK_INTERVAL_MS
+            await asyncio.sleep(LAG_CHECK_INTERVAL_MS / 1000.0)
+            now = monotonic_ms()
+            self.max_lag_ms = max(self.max_lag_ms, now - expected_at)
+            if now - reported_at >= 250.0:
+                self.record_writer.write(run_records.EventLoopLagged(now, "emulator", self.max_lag_ms))
+                self.worst_lag_ms, self.max_lag_ms, reported_at = (
+                    max(self.worst_lag_ms, self.max_lag_ms),
+                    0.0,
+                    now,
+                )
+            if now - heartbeat_at >= 1000.0 * WATCH_HEARTBEAT_INTERVAL_S:
+                heartbeat_at = now
+                for discovery in self.discovery_servers:
+                    discovery.send_heartbeats()
 
     def close(self):
-        for door in self.doors.values():
-            door.close()
-
-    # calls
-
-    def called(self, talk, idents, began, now):
-        endpoint, number = talk.door.endpoint, next(self.calls)
-        self.book.write(
-            records.Arrived(now, number, idents, endpoint.name, endpoint.dest.number, endpoint.hall, began)
+        for listener in self.listeners.values():
+            listener.close()
+
+    # Calls.
+
+    def on_call_received(self, connection, event_ids, first_byte_at, now):
+        endpoint, number = connection.listener.endpoint, next(self.call_numbers)
+        self.record_writer.write(
+            run_records.CallReceived(
+                now,
+                number,
+                event_ids,
+                endpoint.name,
+                endpoint.destination.number,
+                endpoint.zone,
+                first_byte_at,
+            )
         )
-        fell = endpoint.dest.fallen
-        call, answer = self.world.arrive(now, endpoint, number, len(idents))
-        talk.call, self.talks[call] = call, (talk, idents)
-        if endpoint.dest.fallen and not fell:
-            for other in endpoint.dest.endpoints:
-                self._said(self.world.apply(now, "refuse", [other]))
-                self.doors[other.name].refuse()
+        was_overloaded = endpoint.destination.is_overloaded
+        call, answer = self.receivers.arrive(now, endpoint, number, len(event_ids))
+        connection.call, self.pending_calls[call] = call, (connection, event_ids)
+        if endpoint.destination.is_overloaded and not was_overloaded:
+            for other in endpoint.destination.endpoints:
+                self._send_answers(self.receivers.apply(now, "refuse", [other]))
+                self.listeners[other.name].refuse_connections()
         if answer:
-            self._say(answer)
+            self._send_answer(answer)
         self._set_timer()
 
-    def left(self, talk):
-        call, talk.call = talk.call, None
-        if self.talks.pop(call, None):
-            self.world.left(call)
-            self.book.write(records.Left(clock(), call.tag))
+    def on_caller_disconnected(self, connection):
+        call, connection.call = connection.call, None
+        if self.pending_calls.pop(call, None):
+            self.receivers.abandon(call)
+            self.record_writer.write(run_records.CallerDisconnected(monotonic_ms(), call.tag))
 
     def _set_timer(self):
-        until = self.world.next_moment()
-        if self.timer is not None and (self.timer_at > until or self.timer_at < clock() - 1.0):
+        due_at = self.receivers.next_completion_at()
+        if self.timer is not None and (
+            self.timer_due_at > due_at or self.timer_due_at < monotonic_ms() - 1.0
+        ):
             self.timer.cancel()
             self.timer = None
-        if self.timer is None and until < math.inf:
-            self.timer_at = until
-            self.timer = asyncio.get_running_loop().call_later(max(0.0, until - clock()) / 1000.0, self._due)
+        if self.timer is None and due_at < math.inf:
+            self.timer_due_at = due_at
+            self.timer = asyncio.get_running_loop().call_later(
+                max(0.0, due_at - monotonic_ms()) / 1000.0, self._on_timer
+            )
 
-    def _due(self):
+    def _on_timer(self):
         self.timer = None
-        self._said(self.world.advance(clock()))
+        self._send_answers(self.receivers.advance(monotonic_ms()))
         self._set_timer()
 
-    def _said(self, answers):
+    def _send_answers(self, answers):
         for answer in answers:
-            self._say(answer)
+            self._send_answer(answer)
 
-    def _say(self, answer):
+    def _send_answer(self, answer):
         """Write an answer, if its caller still waits."""
-        talk, idents = self.talks.get(answer.call, (None, None))
-        if talk is None or answer.said == model.NOTHING:
+        connection, event_ids = self.pending_calls.get(answer.call, (None, None))
+        if connection is None or answer.outcome == receiver_model.NO_REPLY:
             return
-        del self.talks[answer.call]
-        talk.call = None
-        transport = talk.transport
+        del self.pending_calls[answer.call]
+        connection.call = None
+        transport = connection.transport
         if transport.is_closing():
-            self.book.write(records.Left(clock(), answer.call.tag))
+            self.record_writer.write(run_records.CallerDisconnected(monotonic_ms(), answer.call.tag))
             return
-        self.book.write(records.Replied(clock(), answer.call.tag, answer.said, answer.wait_ms))
-        if answer.said == model.RESET:
-            talk.reset()
+        self.record_writer.write(
+            run_records.ReplySent(monotonic_ms(), answer.call.tag, answer.outcome, answer.retry_after_ms)
+        )
+        if answer.outcome == receiver_model.RESET:
+            connection.reset()
             return
-        if answer.said == model.HALF:
+        if answer.outcome == receiver_model.TRUNCATED:
             transport.write(b"HTTP/1.1 20")
             transport.close()
             return
-        headers = [("Retry-After", f"{answer.wait_ms / 1000.0:.3f}")] if answer.wait_ms else []
+        headers = [("Retry-After", f"{answer.retry_after_ms / 1000.0:.3f}")] if answer.retry_after_ms else []
         body = b""
-        if answer.said == model.DONE and talk.target == "/receive-many":
-            body = json.dumps([{"id": ident, "state": "done"} for ident in idents]).encode()
-        data = answer_bytes(STATUS[answer.said], headers, body)
-        if talk.door.mood.get("slow_write"):
-            self._dribble(transport, data)
+        if answer.outcome == receiver_model.DONE and connection.target == "/receive-many":
+            body = json.dumps([{"id": event_id, "state": "done"} for event_id in event_ids]).encode()
+        data = encode_response(STATUS_BY_OUTCOME[answer.outcome], headers, body)
+        if connection.listener.active_faults.get("slow_write"):
+            self._write_slowly(transport, data)
         else:
             transport.write(data)
 
-    def _dribble(self, transport, data):
+    def _write_slowly(self, transport, data):
         if not transport.is_closing() and data:
-            transport.write(data[:SIP])
-            asyncio.get_running_loop().call_later(SIP_MS / 1000.0, self._dribble, transport, data[SIP:])
+            transport.write(data[:SLOW_IO_CHUNK_BYTES])
+            asyncio.get_running_loop().call_later(
+                SLOW_IO_INTERVAL_MS / 1000.0, self._write_slowly, transport, data[SLOW_IO_CHUNK_BYTES:]
+            )
 
-    def noticed(self, node, ident, outcome, back_ms):
-        self.book.write(records.Noticed(clock(), node, ident, outcome, back_ms))
+    def on_notification(self, node, event_id, outcome, retry_after_ms):
+        self.record_writer.write(
+            run_records.NotificationReceived(monotonic_ms(), node, event_id, outcome, retry_after_ms)
+        )
         if outcome == "handed_back":
-            line = json.dumps([ident, back_ms]).encode() + b"\n"
-            for feed in self.feeds:
-                feed.transport.write(line)
+            line = json.dumps([event_id, retry_after_ms]).encode() + b"\n"
+            for subscriber in self.subscribers:
+                subscriber.transport.write(line)
 
-    # the script
+    # Steps of the incident.
 
-    def _step(self, step):
-        now, loop = clock(), asyncio.get_running_loop()
+    def _run_step(self, step):
+        now, loop = monotonic_ms(), asyncio.get_running_loop()
         if step.what == "discovery_silent":
-            for agent in self.agents:
-                agent.pause(step.for_ms / 1000.0)
+            for discovery in self.discovery_servers:
+                discovery.pause(step.for_ms / 1000.0)
             return
         if step.what == "discovery_cut":
-            for agent in self.agents:
-                agent.cut()
+            for discovery in self.discovery_servers:
+                discovery.drop_watches()
             return
-        names = self.script.aimed(step.on)
+        names = self.incident.targets(step.on)
         if not names:
             return  # the load's, or the nodes'
-        self.do(now, step.what, names, step)
+        self.apply_fault(now, step.what, names, step)
         if step.for_ms and step.what not in ("shut", "pause"):
-            loop.call_later(step.for_ms / 1000.0, lambda: self.do(clock(), "heal", names, step))
+            loop.call_later(
+                step.for_ms / 1000.0, lambda: self.apply_fault(monotonic_ms(), "heal", names, step)
+            )
 
-    def do(self, now, what, names, step):
+    def apply_fault(self, now, what, names, step):
         """One thing happens to these endpoints, in the model and at their sockets."""
-        endpoints, doors = [self.world.endpoints[n] for n in names], [self.doors[n] for n in names]
-        alive = {endpoint.dest: not endpoint.dest.out() for endpoint in endpoints}
-        drained = [door for door in doors if door.endpoint.draining]
-        if what in AT_SOCKETS:
-            for door in doors:
-                door.mood[what] = step.share
+        endpoints, listeners = (
+            [self.receivers.endpoints[name] for name in names],
+            [self.listeners[name] for name in names],
+        )
+        was_up = {endpoint.destination: not endpoint.destination.is_down() for endpoint in endpoints}
+        drained_listeners = [listener for listener in listeners if listener.endpoint.is_draining]
+        if what in SOCKET_FAULTS:
+            for listener in listeners:
+                listener.active_faults[what] = step.share
             return
-        self._said(self.world.apply(now, what, endpoints, step.share, step.wait_ms, step.factor, step.for_ms))
-        for door in doors:
+        self._send_answers(
+            self.receivers.apply(now, what, endpoints, step.share, step.wait_ms, step.factor, step.for_ms)
+        )
+        for listener in listeners:
             if what == "refuse":
-                door.refuse()
+                listener.refuse_connections()
             elif what == "vanish":
-                door.vanish()
+                listener.go_silent()
             elif what == "join":
-                door.open()
+                listener.open()
             elif what == "heal":
-                door.mood.clear()
-                door.vanish_ends()
-                door.open()
+                listener.active_faults.clear()
+                listener.end_silence()
+                listener.open()
         if what in ("drain", "gone"):
-            self._list(doors, "DRAINING" if what == "drain" else "DELETED")
+            self._announce_state(listeners, "DRAINING" if what == "drain" else "DELETED")
         elif what == "join":
-            self._list(doors, "SERVING")
-        elif what == "heal" and drained:
-            self._list(drained, "SERVING")
-        for dest, was in alive.items():
-            if was and dest.out():
-                self.book.write(records.Turned(now, dest.number, "out", dest.capacity()))
+            self._announce_state(listeners, "SERVING")
+        elif what == "heal" and drained_listeners:
+            self._announce_state(drained_listeners, "SERVING")
+        for destination, is_up_before in was_up.items():
+            if is_up_before and destination.is_down():
+                self.record_writer.write(
+                    run_records.DestinationChanged(now, destination.number, "out", destination.capacity())
+                )
         self._set_timer()
 
-    def _list(self, doors, state):
-        rows = [self.entry[door.endpoint.name] | {"state": state} for door in doors]
-        for agent in self.agents:
-            asyncio.get_running_loop().call_later(agent.delay / 1000.0, agent.learn, rows)
+    def _announce_state(self, listeners, state):
+        rows = [self.entries_by_name[listener.endpoint.name] | {"state": state} for listener in listeners]
+        for discovery in self.discovery_servers:
+            asyncio.get_running_loop().call_later(discovery.delay_ms / 1000.0, discovery.apply_changes, rows)
 
 
-async def serve(script, seed, path):
+async def serve(incident, seed, path):
     """The emulator as a process.
 
     It prints where it listens, takes `go MOMENT` and `stop` as lines of its input.
     """
-    book = records.Book(path)
-    emulator = Emulator(script, seed, book)
+    record_writer = run_records.RecordWriter(path)
+    emulator = Emulator(incident, seed, record_writer)
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
-    player = None
+    timeline = None
     try:
         print(json.dumps(await emulator.open()), flush=True)
         while line := (await reader.readline()).split():
             if line[0] == b"go":
-                player = asyncio.ensure_future(emulator.play(float(line[1])))
+                timeline = asyncio.ensure_future(emulator.play(float(line[1])))
             elif line[0] == b"stop":
                 break
     finally:
-        if player:
-            player.cancel()
+        if timeline:
+            timeline.cancel()
         emulator.close()
-        book.close()
+        record_writer.close()
--- a/swiftthread/lab/report.py
+++ b/swiftthread/lab/report.py
@@ -12,9 +12,9 @@
 from jinja2 import Environment
 from matplotlib import pyplot
 
-from swiftthread.lab import experiment, records, referee, scripts
+from swiftthread.lab import experiment, incident_file, referee, run_records
 
-SAID_COLOURS = {
+OUTCOME_COLOURS = {
     "done": "#2a8a4a",
     "error": "#c0392b",
     "full": "#e09f3e",
@@ -45,7 +45,7 @@
     """Figures on their way to a page; each is also kept as a PNG file."""
 
     def __init__(self, folder):
-        self.folder, self.kept = folder, []
+        self.folder, self.images = folder, []
 
     def add(self, name, file, draw):
         figure, axes = pyplot.subplots(figsize=(9, 3.2), dpi=100)
@@ -54,11 +54,11 @@
             axes.legend(loc="best", fontsize=8)
         axes.grid(alpha=0.3)
         figure.tight_layout()
-        out = io.BytesIO()
-        figure.savefig(out, format="png")
+        image = io.BytesIO()
+        figure.savefig(image, format="png")
         pyplot.close(figure)
-        (self.folder / f"{file}.png").write_bytes(out.getvalue())
-        self.kept.append((name, base64.b64encode(out.getvalue()).decode()))
+        (self.folder / f"{file}.png").write_bytes(image.getvalue())
+        self.images.append((name, base64.b64encode(image.getvalue()).decode()))
 
 
 def by_second(pairs, t0):
@@ -69,25 +69,27 @@
     return dict(sorted(found.items()))
 
 
-def write(folder):
+def write_report(folder):
     """`report.html` and its PNGs in a run's folder; the page's path."""
     import numpy
 
-    script = msgspec.json.decode((folder / "script.json").read_bytes(), type=scripts.Script)
+    incident = msgspec.json.decode((folder / "script.json").read_bytes(), type=incident_file.Incident)
     result = json.loads((folder / "result.json").read_text())
-    rows, t0, plots = records.read(*sorted(folder.glob("*.rows"))), result["t0"], Plots(folder)
-    case = referee.Case(script, rows)
-    service = referee.Service(case)
-    end = script.lasts_s + script.drain_s
+    rows, t0, plots = run_records.read_records(*sorted(folder.glob("*.rows"))), result["t0"], Plots(folder)
+    evidence = referee.Evidence(incident, rows)
+    service = referee.ServiceMeasure(evidence)
+    end = incident.lasts_s + incident.drain_s
 
     def utility(axes):
         first = int(t0 // 1000.0)
         points = sorted(
-            (second - first, 100.0 * got / most) for second, (most, got) in service.by_second.items() if most
+            (second - first, 100.0 * earned / offered)
+            for second, (offered, earned) in service.by_second.items()
+            if offered
         )
-        axes.plot(*zip(*points, strict=True), marker=".", label="by the second of the hand-in")
-        axes.set(ylabel="utility, % of what was handed in", ylim=(0, 105), xlim=(0, end), xlabel="s")
-        _steps(axes, script)
+        axes.plot(*zip(*points, strict=True), marker=".", label="by the second of the submission")
+        axes.set(ylabel="utility, % of what was submitted", ylim=(0, 105), xlim=(0, end), xlabel="s")
+        _mark_steps(axes, incident)
 
     if service.by_second:
         plots.add("Utility over time", "utility", utility)
@@ -95,9 +97,9 @@
     def latency(axes):
         waits = by_second(
             [
-                (taken.handed_at, taken.heard_at - taken.handed_at)
-                for taken in case.taken.values()
-                if taken.status
+                (event.submitted_at, event.answered_at - event.submitted_at)
+                for event in evidence.events.values()
+                if event.status
             ],
             t0,
         )
@@ -106,13 +108,13 @@
                 list(waits),
                 [numpy.percentile(values, share) for values in waits.values()],
                 style,
-                label=f"hand-in p{share}",
+                label=f"submission p{share}",
             )
         ends = by_second(
             [
-                (taken.due, taken.acked_at() - taken.due)
-                for taken in case.taken.values()
-                if taken.acked_at() < 1e300
+                (event.scheduled_at, event.acked_at() - event.scheduled_at)
+                for event in evidence.events.values()
+                if event.acked_at() < 1e300
             ],
             t0,
         )
@@ -120,51 +122,60 @@
             list(ends),
             [numpy.percentile(values, 50) for values in ends.values()],
             color="black",
-            label="hand-in to ack p50",
+            label="submission to ack p50",
         )
         axes.set(yscale="log", ylabel="ms", xlabel="s", xlim=(0, end))
 
-    if any(taken.status for taken in case.taken.values()):
+    if any(event.status for event in evidence.events.values()):
         plots.add("Latency", "latency", latency)
 
     def outcomes(axes):
-        sends = by_second([(send.at, send.said or "unanswered") for send in case.calls.values()], t0)
-        base = numpy.zeros(len(sends))
-        for said, colour in SAID_COLOURS.items():
-            heights = numpy.array([values.count(said) for values in sends.values()])
+        attempts = by_second(
+            [(attempt.at, attempt.outcome or "unanswered") for attempt in evidence.calls.values()], t0
+        )
+        base = numpy.zeros(len(attempts))
+        for outcome, colour in OUTCOME_COLOURS.items():
+            heights = numpy.array([values.count(outcome) for values in attempts.values()])
             if heights.any():
-                axes.bar(list(sends), heights, bottom=base, color=colour, label=said, width=0.9)
+                axes.bar(list(attempts), heights, bottom=base, color=colour, label=outcome, width=0.9)
                 base = base + heights
         axes.set(ylabel="calls a second", xlabel="s", xlim=(-0.5, end))
 
-    if case.calls:
+    if evidence.calls:
         plots.add("Calls by how they ended", "outcomes", outcomes)
 
-    limits = {row[1]: row[2].rate_per_s for row in script.endpoints()}
-
-    def pace(axes):
-        for dest in list(limits)[:4]:
-            calls = by_second([(send.at, 1) for send in case.calls.values() if send.dest == dest], t0)
+    limits = {row[1]: row[2].rate_per_s for row in incident.endpoints()}
+
+    def request_rate(axes):
+        for destination in list(limits)[:4]:
+            calls = by_second(
+                [
+                    (attempt.at, 1)
+                    for attempt in evidence.calls.values()
+                    if attempt.destination == destination
+                ],
+                t0,
+            )
             seconds = range(int(end))
             (line,) = axes.plot(
                 seconds,
                 [len(calls.get(second, ())) for second in seconds],
                 marker=".",
-                label=f"destination {dest}",
+                label=f"destination {destination}",
             )
-            if limits[dest]:
-                axes.axhline(limits[dest], color=line.get_color(), ls=":", lw=1)
+            if limits[destination]:
+                axes.axhline(limits[destination], color=line.get_color(), ls=":", lw=1)
         axes.set(ylabel="calls a second, and the limit", xlabel="s", xlim=(0, end))
-        _steps(axes, script)
+        _mark_steps(axes, incident)
 
-    if case.calls:
-        plots.add("Pace against the limit (the first destinations)", "pace", pace)
+    if evidence.calls:
+        plots.add("Pace against the limit (the first destinations)", "pace", request_rate)
 
-    def machine(axes):
+    def process_usage(axes):
         other = axes.twinx()
         nodes = defaultdict(list)
         for row in rows:
-            if isinstance(row, records.Sampled):
+            if isinstance(row, run_records.ProcessSampled):
                 nodes[row.node].append(row)
         for name, samples in sorted(nodes.items())[:8]:
             pairs = list(zip(samples, samples[4:], strict=False))
@@ -177,7 +188,7 @@
         axes.set(ylabel="CPU, % of a core", xlabel="s", ylim=(0, None))
         other.set(ylabel="RSS, MiB (dotted)", ylim=(0, None))
 
-    plots.add("The nodes' CPU and memory", "machine", machine)
+    plots.add("The nodes' CPU and memory", "machine", process_usage)
 
     counts = [["service measure", f"{result['measure']:.4f}"]] + [
         [name, value] for name, value in result["counts"].items()
@@ -193,22 +204,22 @@
         PAGE.render(
             title=f"{result['script']} ({result['node']}, seed {result['seed']})",
             void=result["void"],
-            sees=script.sees,
+            sees=incident.sees,
             breaches=[f"{b['rule']} at {b['at_ms']:.0f} ms: {b['text']}" for b in result["breaches"]],
             tables=[
                 ("Counts", counts),
-                ("Hand-in latency from the scheduled moment", hand_in),
+                ("Submission latency from the scheduled moment", hand_in),
                 ("Machine", machine_rows),
             ],
-            plots=plots.kept,
+            plots=plots.images,
         ),
         encoding="utf-8",
     )
     return page
 
 
-def _steps(axes, script):
-    for step in script.step[:20]:
+def _mark_steps(axes, incident):
+    for step in incident.step[:20]:
         axes.axvline(step.at_ms / 1000.0, color="#a00", lw=0.8, alpha=0.6)
         if step.for_ms:
             axes.axvspan(step.at_ms / 1000.0, (step.at_ms + step.for_ms) / 1000.0, color="#a00", alpha=0.06)
@@ -273,7 +284,7 @@
                 for b in row["breaches"][:5]
             ],
             tables=[("Service", table)],
-            plots=plots.kept,
+            plots=plots.images,
         ),
         encoding="utf-8",
     )
--- a/swiftthread/lab/runner.py
+++ b/swiftthread/lab/runner.py
@@ -1,4 +1,4 @@
-"""One run: emulator, nodes and clients as processes, the script's timeline, the referee's verdict.
+"""One run: emulator, nodes and clients as processes, the incident's timeline, the referee's verdict.
 
 Every process that is started here is ended here, also when the run is cancelled.
 """
@@ -19,26 +19,26 @@
 import psutil
 from hdrh.histogram import HdrHistogram
 
-from swiftthread.lab import records, referee, scripts
-from swiftthread.lab.load import DIGITS, LONGEST_US
-from swiftthread.lab.records import clock
+from swiftthread.lab import incident_file, referee, run_records
+from swiftthread.lab.load import HISTOGRAM_DIGITS, HISTOGRAM_MAX_US
+from swiftthread.lab.run_records import monotonic_ms
 
-READY_S = 15.0  # s for a process of a run to be ready
-START_AHEAD_MS = 300.0  # ms between "all are ready" and the first moment of the script
-STOP_S = 3.7  # s from SIGTERM to SIGKILL, the platform's
-BACK_MS = 600.0  # ms from a node's end to its next start, unless the step says otherwise
-SAMPLE_S = 0.25  # s between two looks at the nodes' CPU and memory
+READY_TIMEOUT_S = 15.0  # s for a process of a run to be ready
+START_DELAY_MS = 300.0  # ms between "all are ready" and the first moment of the incident
+STOP_TIMEOUT_S = 3.7  # s from SIGTERM to SIGKILL, the platform's
+RESTART_DELAY_MS = 600.0  # ms from a node's end to its next start, unless the step says otherwise
+SAMPLE_INTERVAL_S = 0.25  # s between two looks at the nodes' CPU and memory
 # Ms: where a loop of the laboratory came later than this the figures are its own, not a node's
-MOST_LAG_MS = 60.0
-TREE = Path(__file__).parents[2]
-KINDS = ("swiftthread", "once", "backoff", "aimd", "floor")
+MAX_LAG_MS = 60.0
+SOURCE_TREE = Path(__file__).parents[2]
+NODE_KINDS = ("swiftthread", "once", "backoff", "aimd", "floor")
 
 
-class Trouble(Exception):
+class RunError(Exception):
     """A run that could not be made; the text says which part and why."""
 
 
-def command_of(node):
+def command_for(node):
     """The command line of a node: one of KINDS, or "exec:" and a command."""
     if node.startswith("exec:"):
         return shlex.split(node.removeprefix("exec:"))
@@ -47,38 +47,38 @@
     return [sys.executable, "-m", "swiftthread.lab", "relay", node]
 
 
-class Process:
+class ManagedProcess:
     """A process of ours in a session of its own, so that only we end it."""
 
-    def __init__(self, name, command, folder, cpus=(), **more):
+    def __init__(self, name, command, folder, cpus=(), **popen_options):
         self.name, self.command, self.log = name, command, folder / f"{name}.log"
-        with open(self.log, "ab") as out:
-            self.popen = subprocess.Popen(command, stderr=out, start_new_session=True, **more)
+        with open(self.log, "ab") as log_file:
+            self.popen = subprocess.Popen(command, stderr=log_file, start_new_session=True, **popen_options)
         if cpus:
             # It has ended, or the machine will not pin; the run goes on.
             with contextlib.suppress(psutil.Error):
                 psutil.Process(self.popen.pid).cpu_affinity(list(cpus))
 
-    def tell(self, line):
+    def send_line(self, line):
         try:
             self.popen.stdin.write(line.encode() + b"\n")
             self.popen.stdin.flush()
         except OSError:
-            raise Trouble(f"{self.name} has ended: {self.last_words()}") from None
+            raise RunError(f"{self.name} has ended: {self.last_log_line()}") from None
 
-    async def says(self):
+    async def read_line(self):
         """Its next line of output."""
-        with anyio.move_on_after(READY_S):
+        with anyio.move_on_after(READY_TIMEOUT_S):
             line = await anyio.to_thread.run_sync(self.popen.stdout.readline, abandon_on_cancel=True)
             if line:
                 return line.decode().strip()
-        raise Trouble(f"{self.name} does not start: {self.last_words()}")
+        raise RunError(f"{self.name} does not start: {self.last_log_line()}")
 
-    def last_words(self):
-        words = self.log.read_text(errors="replace").strip().splitlines()
-        return words[-1] if words else "it says nothing"
+    def last_log_line(self):
+        lines = self.log.read_text(errors="replace").strip().splitlines()
+        return lines[-1] if lines else "it says nothing"
 
-    async def ended(self, seconds):
+    async def wait_for_exit(self, seconds):
         """Its exit code once it ends by itself, else None; it is killed then."""
         with anyio.move_on_after(seconds):
             while self.popen.poll() is None:
@@ -100,24 +100,24 @@
                     pipe.close()
 
 
-class Node:
+class NodeProcess:
     """One node of the run over all its lives."""
 
-    def __init__(self, run, number, page):
+    def __init__(self, run, number, addresses):
         self.run, self.name, self.process = run, f"n{number}", None
         self.folder = run.folder / self.name
         (self.folder / "state").mkdir(parents=True)
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.address = ("127.0.0.1", free.getsockname()[1])
-        fleet = run.script.fleet
-        conf = {
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            self.address = ("127.0.0.1", listener.getsockname()[1])
+        fleet = run.incident.fleet
+        configuration = {
             "name": self.name,
             "listen": "{}:{}".format(*self.address),
-            "discovery": page["discovery"][number],
+            "discovery": addresses["discovery"][number],
             "seed": f"{0x5EED0000 + 1000 * run.seed + number:016x}",
             "state": str(self.folder / "state"),
-            "known": page["known"],
-            "settings": scripts.settings_of(run.script, number),
+            "known": addresses["known"],
+            "settings": incident_file.settings_for(run.incident, number),
             "limits": {
                 "cores": 1.0,
                 "memory_mb": fleet.memory_mb,
@@ -125,54 +125,60 @@
                 "disk_mb": fleet.disk_mb,
             },
         }
-        self.conf = self.folder / "config.json"
-        self.conf.write_text(json.dumps(conf))
-        self.spent_ms = 0.0
+        self.configuration = self.folder / "config.json"
+        self.configuration.write_text(json.dumps(configuration))
+        self.cpu_ms = 0.0
 
     async def start(self):
-        environ = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-        environ |= {"LB_CONFIG": str(self.conf), "PYTHONPATH": str(self.run.tree)}
-        self.process = Process(
+        environment = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
+        environment |= {"LB_CONFIG": str(self.configuration), "PYTHONPATH": str(self.run.tree)}
+        self.process = ManagedProcess(
             self.name,
-            command_of(self.run.node),
+            command_for(self.run.node),
             self.run.folder,
-            self.run.cpus_of(self),
+            self.run.cores_for(self),
             cwd=self.run.tree,
-            env=environ,
+            env=environment,
             stdout=subprocess.DEVNULL,
             stdin=subprocess.DEVNULL,
         )
-        self.life = psutil.Process(self.process.popen.pid)
-        with anyio.move_on_after(READY_S):
-            while not self._healthy():
+        self.process_info = psutil.Process(self.process.popen.pid)
+        with anyio.move_on_after(READY_TIMEOUT_S):
+            while not self._is_healthy():
                 if self.process.popen.poll() is not None:
-                    raise Trouble(
+                    raise RunError(
                         f"node {self.name} ended with {self.process.popen.returncode}: "
-                        f"{self.process.last_words()}"
+                        f"{self.process.last_log_line()}"
                     )
                 await anyio.sleep(0.02)
-            self.run.note(records.Life(clock(), self.name, "ready"))
+            self.run.record(run_records.NodeLifecycleChanged(monotonic_ms(), self.name, "ready"))
             return
-        raise Trouble(f"node {self.name} is not ready after {READY_S:.0f} s: {self.process.last_words()}")
+        raise RunError(
+            f"node {self.name} is not ready after {READY_TIMEOUT_S:.0f} s: {self.process.last_log_line()}"
+        )
 
-    def _healthy(self):
+    def _is_healthy(self):
         try:
-            with socket.create_connection(self.address, timeout=0.5) as conn:
-                conn.sendall(b"GET /_health HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
-                return conn.recv(100).startswith(b"HTTP/1.1 200")
+            with socket.create_connection(self.address, timeout=0.5) as connection:
+                connection.sendall(b"GET /_health HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
+                return connection.recv(100).startswith(b"HTTP/1.1 200")
         except OSError:
             return False
 
     def sample(self):
         try:
-            cpu, memory = self.life.cpu_times(), self.life.memory_info().rss
-            spent = 1000.0 * (cpu.user + cpu.system)
-            self.run.note(
-                records.Sampled(
-                    clock(), self.name, self.spent_ms + spent, memory / 2**20, self.life.num_fds()
+            cpu_times, memory = self.process_info.cpu_times(), self.process_info.memory_info().rss
+            cpu_ms = 1000.0 * (cpu_times.user + cpu_times.system)
+            self.run.record(
+                run_records.ProcessSampled(
+                    monotonic_ms(),
+                    self.name,
+                    self.cpu_ms + cpu_ms,
+                    memory / 2**20,
+                    self.process_info.num_fds(),
                 )
             )
-            return spent
+            return cpu_ms
         except psutil.Error:
             return 0.0  # between two lives
 
@@ -182,74 +188,79 @@
             await anyio.sleep(step.for_ms / 1000.0)
             os.kill(self.process.popen.pid, signal.SIGCONT)
             return
-        self.spent_ms += self.sample()
+        self.cpu_ms += self.sample()
         if step.what == "kill":
-            self.run.note(records.Life(clock(), self.name, "killed"))
+            self.run.record(run_records.NodeLifecycleChanged(monotonic_ms(), self.name, "killed"))
             self.process.kill()
         else:
             await self.stop()
-        await anyio.sleep((step.for_ms or BACK_MS) / 1000.0)
+        await anyio.sleep((step.for_ms or RESTART_DELAY_MS) / 1000.0)
         await self.start()
 
     async def stop(self):
         """SIGTERM and its end; the exit code, None when it had to be killed."""
-        self.run.note(records.Life(clock(), self.name, "stopping"))
+        self.run.record(run_records.NodeLifecycleChanged(monotonic_ms(), self.name, "stopping"))
         self.process.popen.terminate()
-        return await self.process.ended(STOP_S)
+        return await self.process.wait_for_exit(STOP_TIMEOUT_S)
 
 
 class Run:
     """Owner of all processes and files of one run."""
 
-    def __init__(self, script, seed, node, folder, tree=TREE, cpus=()):
-        self.script, self.seed, self.node, self.tree = script, seed, node, Path(tree)
+    def __init__(self, incident, seed, node, folder, tree=SOURCE_TREE, cpus=()):
+        self.incident, self.seed, self.node, self.tree = incident, seed, node, Path(tree)
         self.folder, self.cpus = Path(folder).absolute(), list(cpus)
         self.folder.mkdir(parents=True, exist_ok=True)
         self.processes, self.nodes, self.t0 = [], [], 0.0
-        self.book = records.Book(self.folder / "nodes.rows")
-        (self.folder / "script.json").write_bytes(msgspec.json.encode(script))
+        self.record_writer = run_records.RecordWriter(self.folder / "nodes.rows")
+        (self.folder / "script.json").write_bytes(msgspec.json.encode(incident))
 
-    def note(self, row):
-        self.book.write(row)
+    def record(self, row):
+        self.record_writer.write(row)
 
-    def cpus_of(self, node):
+    def cores_for(self, node):
         """The emulator has the first core, the clients the next ones, the nodes share the rest."""
-        mine = self.cpus[1 + self.script.load.processes :]
+        mine = self.cpus[1 + self.incident.load.processes :]
         return [mine[int(node.name[1:]) % len(mine)]] if mine else ()
 
-    async def make(self, progress=lambda text: None):
-        """Run the script to its end; the result as a dictionary, the rows in the folder."""
+    async def execute(self, progress=lambda text: None):
+        """Run the incident to its end; the result as a dictionary, the records in the folder."""
         try:
-            codes = await self._play(progress)
+            exit_codes = await self._play(progress)
         finally:
-            self._end()
+            self._clean_up()
         progress("judging")
-        return self._result(codes)
+        return self._result(exit_codes)
 
-    def _helper(self, name, *words, cpus=()):
-        process = Process(
+    def _start_lab_process(self, name, *arguments, cpus=()):
+        process = ManagedProcess(
             name,
-            [sys.executable, "-m", "swiftthread.lab", *words],
+            [sys.executable, "-m", "swiftthread.lab", *arguments],
             self.folder,
             cpus,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
-            env=os.environ | {"PYTHONPATH": str(TREE)},
+            env=os.environ | {"PYTHONPATH": str(SOURCE_TREE)},
         )
         self.processes.append(process)
         return process
 
     async def _play(self, progress):
-        script, load = self.script, self.script.load
-        told = [str(self.folder / "script.json"), "--seed", str(self.seed)]
-        emulator = self._helper(
-            "emulator", "emulate", *told, "--rows", str(self.folder / "emulator.rows"), cpus=self.cpus[:1]
+        incident, load = self.incident, self.incident.load
+        common_arguments = [str(self.folder / "script.json"), "--seed", str(self.seed)]
+        emulator = self._start_lab_process(
+            "emulator",
+            "emulate",
+            *common_arguments,
+            "--rows",
+            str(self.folder / "emulator.rows"),
+            cpus=self.cpus[:1],
         )
         clients = [
-            self._helper(
+            self._start_lab_process(
                 f"load-{part}",
                 "clients",
-                *told,
+                *common_arguments,
                 "--part",
                 str(part),
                 "--rows",
@@ -258,98 +269,102 @@
             )
             for part in range(load.processes)
         ]
-        page = json.loads(await emulator.says())
+        addresses = json.loads(await emulator.read_line())
         for client in clients:
-            await client.says()
-        self.nodes = [Node(self, number, page) for number in range(script.fleet.nodes)]
+            await client.read_line()
+        self.nodes = [NodeProcess(self, number, addresses) for number in range(incident.fleet.nodes)]
         async with anyio.create_task_group() as tasks:
             for node in self.nodes:
                 tasks.start_soon(node.start)
-        self.t0 = clock() + START_AHEAD_MS
-        emulator.tell(f"go {self.t0}")
-        places = ",".join("{}:{}".format(*node.address) for node in self.nodes)
+        self.t0 = monotonic_ms() + START_DELAY_MS
+        emulator.send_line(f"go {self.t0}")
+        node_addresses = ",".join("{}:{}".format(*node.address) for node in self.nodes)
         for client in clients:
-            client.tell(f"go {self.t0} {page['feed']} {places}")
+            client.send_line(f"go {self.t0} {addresses['feed']} {node_addresses}")
         async with anyio.create_task_group() as tasks:
-            for step in script.step:
-                if step.what in scripts.AT_NODES:
-                    tasks.start_soon(self._at, step)
-            tasks.start_soon(self._watch, tasks.cancel_scope, progress)
-        codes = {}
+            for step in incident.step:
+                if step.what in incident_file.NODE_FAULTS:
+                    tasks.start_soon(self._run_node_step, step)
+            tasks.start_soon(self._sample_nodes, tasks.cancel_scope, progress)
+        exit_codes = {}
         async with anyio.create_task_group() as tasks:
             for node in self.nodes:
-                tasks.start_soon(self._stop, node, codes)
+                tasks.start_soon(self._stop_node, node, exit_codes)
         for process in [*clients, emulator]:
-            process.tell("stop")
+            process.send_line("stop")
         for process in [*clients, emulator]:
-            if await process.ended(READY_S) is None:
-                raise Trouble(f"{process.name} did not end")
-        return codes
+            if await process.wait_for_exit(READY_TIMEOUT_S) is None:
+                raise RunError(f"{process.name} did not end")
+        return exit_codes
 
-    async def _at(self, step):
-        await anyio.sleep(max(0.0, self.t0 + step.at_ms - clock()) / 1000.0)
+    async def _run_node_step(self, step):
+        await anyio.sleep(max(0.0, self.t0 + step.at_ms - monotonic_ms()) / 1000.0)
         await self.nodes[int(step.on.partition(":")[2])].step(step)
 
-    async def _watch(self, scope, progress):
-        """Sample the nodes until the script is over."""
-        until, said = self.t0 + 1000.0 * (self.script.lasts_s + self.script.drain_s), 0
-        while clock() < until:
+    async def _sample_nodes(self, scope, progress):
+        """Sample the nodes until the incident is over."""
+        ends_at, reported_s = self.t0 + 1000.0 * (self.incident.lasts_s + self.incident.drain_s), 0
+        while monotonic_ms() < ends_at:
             for node in self.nodes:
                 node.sample()
             for process in self.processes:
                 if process.popen.poll() is not None:
-                    raise Trouble(f"{process.name} ended: {process.last_words()}")
-            if (passed := int((clock() - self.t0) / 1000.0)) > said:
-                said = passed
-                progress(f"{said} of {self.script.lasts_s + self.script.drain_s:.0f} s")
-            await anyio.sleep(SAMPLE_S)
+                    raise RunError(f"{process.name} ended: {process.last_log_line()}")
+            if (elapsed_s := int((monotonic_ms() - self.t0) / 1000.0)) > reported_s:
+                reported_s = elapsed_s
+                progress(f"{reported_s} of {self.incident.lasts_s + self.incident.drain_s:.0f} s")
+            await anyio.sleep(SAMPLE_INTERVAL_S)
         scope.cancel()
 
-    async def _stop(self, node, codes):
-        node.spent_ms += node.sample()
-        codes[node.name] = await node.stop()
+    async def _stop_node(self, node, exit_codes):
+        node.cpu_ms += node.sample()
+        exit_codes[node.name] = await node.stop()
 
-    def _end(self):
+    def _clean_up(self):
         for process in [*self.processes, *[node.process for node in self.nodes if node.process]]:
             process.kill()
-        self.book.close()
+        self.record_writer.close()
 
-    def _result(self, codes):
-        rows = records.read(*sorted(self.folder.glob("*.rows")))
-        case, breaches = referee.judge(self.script, rows)
-        service, lag = referee.Service(case), defaultdict(float)
-        histogram, fds, rss = HdrHistogram(1, LONGEST_US, DIGITS), 0, 0.0
+    def _result(self, exit_codes):
+        rows = run_records.read_records(*sorted(self.folder.glob("*.rows")))
+        evidence, breaches = referee.judge(self.incident, rows)
+        service, lag = referee.ServiceMeasure(evidence), defaultdict(float)
+        histogram, open_descriptors, rss_mib = HdrHistogram(1, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS), 0, 0.0
         for row in rows:
-            if isinstance(row, records.Lagged):
-                lag[row.who] = max(lag[row.who], row.ms)
-            elif isinstance(row, records.Spread):
+            if isinstance(row, run_records.EventLoopLagged):
+                lag[row.process] = max(lag[row.process], row.lag_ms)
+            elif isinstance(row, run_records.LatencyHistogramRecorded):
                 histogram.decode_and_add(row.encoded)
-            elif isinstance(row, records.Sampled):
-                fds, rss = max(fds, row.fds), max(rss, row.rss_mib)
-        worst = max(lag, key=lag.get) if lag else None
-        cpu = sum(node.spent_ms for node in self.nodes)
+            elif isinstance(row, run_records.ProcessSampled):
+                open_descriptors, rss_mib = (
+                    max(open_descriptors, row.open_descriptors),
+                    max(rss_mib, row.rss_mib),
+                )
+        worst_process = max(lag, key=lag.get) if lag else None
+        cpu_ms = sum(node.cpu_ms for node in self.nodes)
         result = {
-            "script": self.script.title,
+            "script": self.incident.title,
             "seed": self.seed,
             "node": self.node,
             "measure": round(service.measure(), 4),
             "breaches": [
-                {"rule": b.rule, "at_ms": round(b.at - self.t0, 1), "text": b.text} for b in breaches
+                {"rule": breach.rule, "at_ms": round(breach.at - self.t0, 1), "text": breach.text}
+                for breach in breaches
             ],
             "counts": dict(sorted(service.counts.items())),
             "hand_in_ms": {
-                name: histogram.get_value_at_percentile(share) / 1000.0
-                for name, share in (("p50", 50), ("p90", 90), ("p99", 99), ("max", 100))
+                name: histogram.get_value_at_percentile(percentile) / 1000.0
+                for name, percentile in (("p50", 50), ("p90", 90), ("p99", 99), ("max", 100))
             },
-            "cpu_ms": round(cpu, 1),
-            "cpu_ms_per_acked": round(cpu / max(1, service.counts["acked"]), 3),
-            "rss_mib": round(rss, 1),
-            "fds": fds,
-            "lag_ms": {who: round(ms, 1) for who, ms in sorted(lag.items())},
-            "void": f"the loop of {worst} came {lag[worst]:.0f} ms late"
-            if worst and lag[worst] > MOST_LAG_MS
+            "cpu_ms": round(cpu_ms, 1),
+            "cpu_ms_per_acked": round(cpu_ms / max(1, service.counts["acked"]), 3),
+            "rss_mib": round(rss_mib, 1),
+            "fds": open_descriptors,
+            "lag_ms": {process: round(lag_ms, 1) for process, lag_ms in sorted(lag.items())},
+            "void": f"the loop of {worst_process} came {lag[worst_process]:.0f} ms late"
+            if worst_process and lag[worst_process] > MAX_LAG_MS
             else "",
-            "exit_codes": codes,
+            "exit_codes": exit_codes,
             "t0": self.t0,
         }
         (self.folder / "result.json").write_text(json.dumps(result, indent=1))
--- a/tests/lab/test_scripts.py
+++ b/tests/lab/test_incident_file.py
@@ -1,4 +1,4 @@
-"""Scripts: the shipped ones can be used; what is wrong is said in one line with file and key."""
+"""Incident files: the shipped ones can be used; what is wrong is said in one line with file and key."""
 
 import subprocess
 import sys
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from swiftthread.lab import experiment, load, scripts
+from swiftthread.lab import experiment, incident_file, load
 from swiftthread.terms import terms_of
 
 GOOD = """
@@ -20,7 +20,7 @@
 """
 
 
-def lab(*words, **more):
+def run_lab(*words, **more):
     return subprocess.run(
         [sys.executable, "-m", "swiftthread.lab", *words],
         capture_output=True,
@@ -31,20 +31,20 @@
     )
 
 
-@pytest.mark.parametrize("name", scripts.shipped_names())
-def test_shipped_scripts_say_what_to_see_and_suit_a_node(name):
-    script = scripts.load(name)
-    assert len(script.sees) > 60 and script.drain_s * 1000.0 > max(s.max_age_ms for s in script.stream)
-    terms, _ = terms_of(scripts.settings_of(script, 0))
-    assert len(terms["streams"]) == len(script.stream)
+@pytest.mark.parametrize("name", incident_file.shipped_names())
+def test_shipped_incidents_say_what_to_see_and_suit_a_node(name):
+    incident = incident_file.load(name)
+    assert len(incident.sees) > 60 and incident.drain_s * 1000.0 > max(s.max_age_ms for s in incident.stream)
+    terms, _ = terms_of(incident_file.settings_for(incident, 0))
+    assert len(terms["streams"]) == len(incident.stream)
 
 
 def test_there_are_twelve_at_least():
-    assert len(scripts.shipped_names()) >= 12
+    assert len(incident_file.shipped_names()) >= 12
 
 
 @pytest.mark.parametrize(
-    "more, said",
+    "more, message",
     [
         ("[load]\nratee = 3", "key load.ratee: object contains unknown field"),
         ("[load]\nrate_per_s = 'x'", "key load.rate_per_s: expected `float`, got `str`"),
@@ -65,28 +65,28 @@
         ("lasts_s = [", "no TOML"),
     ],
 )
-def test_faults_name_the_key(more, said, tmp_path):
+def test_faults_name_the_key(more, message, tmp_path):
     path = tmp_path / "bad.toml"
     path.write_text(GOOD + more if not more.startswith("lasts_s") else more)
-    with pytest.raises(scripts.Faulty) as fault:
-        scripts.load(str(path))
-    assert f"{path}: {said}" in str(fault.value)
+    with pytest.raises(incident_file.IncidentError) as fault:
+        incident_file.load(str(path))
+    assert f"{path}: {message}" in str(fault.value)
 
 
 def test_all_faults_of_all_files_at_once(tmp_path):
-    one, two = tmp_path / "one.toml", tmp_path / "two.toml"
-    one.write_text(GOOD + "[[step]]\nat_ms = 5\nwhat = 'x'\n[[step]]\nat_ms = 4\nwhat = 'y'")
-    two.write_text("format = 2")
-    done = lab("check", str(one), str(two))
-    assert done.returncode == 2 and "Traceback" not in done.stderr
+    first, second = tmp_path / "one.toml", tmp_path / "two.toml"
+    first.write_text(GOOD + "[[step]]\nat_ms = 5\nwhat = 'x'\n[[step]]\nat_ms = 4\nwhat = 'y'")
+    second.write_text("format = 2")
+    completed = run_lab("check", str(first), str(second))
+    assert completed.returncode == 2 and "Traceback" not in completed.stderr
     assert [
-        word in done.stderr
+        word in completed.stderr
         for word in ("step[0].what", "step[1].what", "step[1].at_ms", "two.toml: key format")
     ] == [True] * 4
 
 
 @pytest.mark.parametrize(
-    "words, said",
+    "words, message",
     [
         (("run", "no-such"), "no-such: no such file"),
         (("run", "calm", "--node", "other"), "--node other: is none of"),
@@ -94,22 +94,22 @@
         (("compare", "nowhere", "calm"), "nowhere: no such"),
     ],
 )
-def test_bad_words_end_with_2_and_one_line(words, said, tmp_path):
-    done = lab(*words, *(("--into", str(tmp_path / "r"))))
-    assert done.returncode == 2 and said in done.stderr and "Traceback" not in done.stderr
+def test_bad_words_end_with_2_and_one_line(words, message, tmp_path):
+    completed = run_lab(*words, *(("--into", str(tmp_path / "r"))))
+    assert completed.returncode == 2 and message in completed.stderr and "Traceback" not in completed.stderr
 
 
 def test_a_node_that_does_not_start_is_one_line_and_nothing_is_left(tmp_path):
-    done = lab("run", "calm", "--node", "exec:/bin/false", "--into", str(tmp_path / "r"))
-    assert done.returncode == 2 and "node n" in done.stderr and "ended with 1" in done.stderr
-    assert "Traceback" not in done.stderr
+    completed = run_lab("run", "calm", "--node", "exec:/bin/false", "--into", str(tmp_path / "r"))
+    assert completed.returncode == 2 and "node n" in completed.stderr and "ended with 1" in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
 def test_arrivals_are_of_the_seed_and_follow_the_bursts():
-    script = scripts.load("crowd")
-    rows = load.schedule(script, 5)
-    assert [(at, event.origin, event.dest) for at, event in rows] == [
-        (at, event.origin, event.dest) for at, event in load.schedule(script, 5)
+    incident = incident_file.load("crowd")
+    rows = load.schedule(incident, 5)
+    assert [(at, event.original_id, event.destination) for at, event in rows] == [
+        (at, event.original_id, event.destination) for at, event in load.schedule(incident, 5)
     ]
     inside = sum(4000.0 <= at < 8000.0 for at, _ in rows) / 4.0
     outside = sum(at < 4000.0 for at, _ in rows) / 4.0
@@ -117,13 +117,15 @@
 
 
 def test_skew_crowds_the_first_destinations():
-    base = scripts.load("crowd")
+    base = incident_file.load("crowd")
     skewed = msgspec.structs.replace(base, load=msgspec.structs.replace(base.load, skew=1.5))
-    first = [sum(event.dest == 1 for _, event in load.schedule(script, 1)) for script in (base, skewed)]
+    first = [
+        sum(event.destination == 1 for _, event in load.schedule(incident, 1)) for incident in (base, skewed)
+    ]
     assert first[1] > 1.8 * first[0]
 
 
-def rows_of(name, before, after):
+def results_of(name, before, after):
     return [
         {
             "name": name,
@@ -141,19 +143,21 @@
 
 
 @pytest.mark.parametrize(
-    "after, said",
+    "after, message",
     [
         ([0.7, 0.71, 0.72, 0.69, 0.7, 0.71], "more than chance"),
         ([0.6, 0.5, 0.58, 0.62, 0.55, 0.57], "no more than chance"),
     ],
 )
-def test_what_is_more_than_chance(after, said):
-    lines = list(experiment.compared(rows_of("x", [0.55, 0.56, 0.57, 0.58, 0.59, 0.54], after), "a", "b"))
-    assert f"over 6 pairs: {said}" in lines[0]
+def test_what_is_more_than_chance(after, message):
+    lines = list(
+        experiment.comparison(results_of("x", [0.55, 0.56, 0.57, 0.58, 0.59, 0.54], after), "a", "b")
+    )
+    assert f"over 6 pairs: {message}" in lines[0]
 
 
 def test_few_pairs_are_not_judged_and_void_runs_are_left_out():
-    rows = rows_of("x", [0.5, 0.5, 0.5], [0.9, 0.9, 0.9])
-    assert "too few" in next(experiment.compared(rows, "a", "b"))
+    rows = results_of("x", [0.5, 0.5, 0.5], [0.9, 0.9, 0.9])
+    assert "too few" in next(experiment.comparison(rows, "a", "b"))
     rows[0]["void"] = "lag"
-    assert "over 2 pairs" in next(experiment.compared(rows, "a", "b"))
+    assert "over 2 pairs" in next(experiment.comparison(rows, "a", "b"))
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -6,13 +6,13 @@
 import anyio
 import pytest
 
-from swiftthread.lab import scripts
+from swiftthread.lab import incident_file
 from swiftthread.lab.runner import Run
 
-WRONG = Path(__file__).with_name("wrong_node.py")
-AT_A_TIME = 4  # runs beside each other: four processes each are on eight cores without crowding them
+WRONG_NODE = Path(__file__).with_name("wrong_node.py")
+CONCURRENT_RUNS = 4  # runs beside each other: four processes each are on eight cores without crowding them
 
-HEAD = """
+INCIDENT_TEMPLATE = """
 format = 1
 title = "planted"
 sees = "-"
@@ -44,8 +44,10 @@
     return f'[[step]]\nat_ms = {at_ms}\nwhat = "{what}"\non = "{on}"\n{rest}'
 
 
-def day(*steps, effect="idempotent", stream="", dest="service_ms = 10", rate=40, load=""):
-    return HEAD.format(effect=effect, stream=stream, dest=dest, rate=rate, load=load) + "".join(steps)
+def incident_text(*steps, effect="idempotent", stream="", dest="service_ms = 10", rate=40, load=""):
+    return INCIDENT_TEMPLATE.format(effect=effect, stream=stream, dest=dest, rate=rate, load=load) + "".join(
+        steps
+    )
 
 
 RESETS = step(200, "reset_after", share=0.5)
@@ -53,52 +55,60 @@
 SLOW = "service_ms = 150\nworkers = 64"
 # The node that breaks it, the day on which it shows, and the rule that must be named.
 PLANTED = {
-    "NoEnd": (day(), "one end"),
-    "TwoEnds": (day(), "one end"),
-    "Late": (day(rate=10), "one end"),
-    "Unsaid": (day(), "one end"),
-    "Twice": (day(RESETS, effect="non-idempotent"), "no effect twice"),
-    "PastWindow": (day(RESETS, effect="deduplicated", stream="window_ms = 300"), "no effect twice"),
-    "OtherGroup": (day(RESETS, effect="deduplicated", stream=ZONE), "no effect twice"),
-    "TwoOut": (day(dest=SLOW), "no effect twice"),
-    "Drains": (day(step(500, "drain", "endpoint:d1-0")), "drain"),
-    "Crowds": (
-        day(step(300, "refuse", for_ms=1000), dest="rate_per_s = 20\nconnections = 200", rate=60),
+    "LosesEvents": (incident_text(), "one end"),
+    "NotifiesTwice": (incident_text(), "one end"),
+    "SendsExpired": (incident_text(rate=10), "one end"),
+    "SendsRejected": (incident_text(), "one end"),
+    "RetriesUnsafely": (incident_text(RESETS, effect="non-idempotent"), "no effect twice"),
+    "RetriesAfterWindow": (
+        incident_text(RESETS, effect="deduplicated", stream="window_ms = 300"),
+        "no effect twice",
+    ),
+    "RetriesInOtherZone": (incident_text(RESETS, effect="deduplicated", stream=ZONE), "no effect twice"),
+    "SendsConcurrently": (incident_text(dest=SLOW), "no effect twice"),
+    "IgnoresDraining": (incident_text(step(500, "drain", "endpoint:d1-0")), "drain"),
+    "FloodsRecovery": (
+        incident_text(step(300, "refuse", for_ms=1000), dest="rate_per_s = 20\nconnections = 200", rate=60),
         "fall budget",
     ),
-    "OutOfOrder": (day(stream="in_order = true", dest=SLOW, load="subjects = 4"), "order"),
-    "Right": (day(step(500, "shut", for_ms=1000, wait_ms=1)), "told wait"),
-    "unlogged": (day(step(1200, "kill", "node:0", for_ms=300), dest=SLOW + "\nrate_per_s = 0"), "logged"),
+    "SendsOutOfOrder": (incident_text(stream="in_order = true", dest=SLOW, load="subjects = 4"), "order"),
+    "Correct": (incident_text(step(500, "shut", for_ms=1000, wait_ms=1)), "told wait"),
+    "unlogged": (
+        incident_text(step(1200, "kill", "node:0", for_ms=300), dest=SLOW + "\nrate_per_s = 0"),
+        "logged",
+    ),
 }
 
 
 @pytest.fixture(scope="module")
 def verdicts(tmp_path_factory):
     """The result of each planted day, and of quiet days of nodes that break nothing there."""
-    found, room = {}, anyio.Semaphore(AT_A_TIME)
-    days = {name: (name if name != "unlogged" else "Right", text) for name, (text, _) in PLANTED.items()}
-    days |= {
-        "quiet": ("Right", day()),
-        "quiet in order": ("Right", day(stream="in_order = true", load="subjects = 900")),
+    results, run_slots = {}, anyio.Semaphore(CONCURRENT_RUNS)
+    incidents = {
+        name: (name if name != "unlogged" else "Correct", text) for name, (text, _) in PLANTED.items()
+    }
+    incidents |= {
+        "quiet": ("Correct", incident_text()),
+        "quiet in order": ("Correct", incident_text(stream="in_order = true", load="subjects = 900")),
         "swiftthread": (
             None,
-            day(step(300, "refuse", for_ms=700), RESETS.replace("at_ms = 200", "at_ms = 400")),
+            incident_text(step(300, "refuse", for_ms=700), RESETS.replace("at_ms = 200", "at_ms = 400")),
         ),
     }
 
-    async def one(name, kind, text):
-        script = scripts.parse(text, name)
-        node = f"exec:{sys.executable} {WRONG} {kind}" if kind else "swiftthread"
-        async with room:
-            found[name] = await Run(script, 7, node, tmp_path_factory.mktemp("run") / "r").make()
+    async def execute_one(name, kind, text):
+        incident = incident_file.parse(text, name)
+        node = f"exec:{sys.executable} {WRONG_NODE} {kind}" if kind else "swiftthread"
+        async with run_slots:
+            results[name] = await Run(incident, 7, node, tmp_path_factory.mktemp("run") / "r").execute()
 
-    async def every():
+    async def execute_all():
         async with anyio.create_task_group() as tasks:
-            for name, (kind, text) in days.items():
-                tasks.start_soon(one, name, kind, text)
+            for name, (kind, text) in incidents.items():
+                tasks.start_soon(execute_one, name, kind, text)
 
-    anyio.run(every)
-    return found
+    anyio.run(execute_all)
+    return results
 
 
 @pytest.mark.parametrize("name", PLANTED)
--- /dev/null
+++ b/tests/lab/test_receiver_model.py
@@ -0,0 +1,250 @@
+"""The model of a receiver: against queueing theory, its failures, and the same events for the same seed."""
+
+import hashlib
+import json
+import math
+import random
+import subprocess
+import sys
+from collections import Counter
+
+import pytest
+
+from swiftthread.lab import receiver_model
+
+WITHIN = 0.03  # of the theory's figure
+
+
+def build_receiver(rng, *, workers=1, queue=10**9, kind="exponential", mean=10.0, rate=0.0, cold=1.0, **more):
+    destination = receiver_model.Destination(1, receiver_model.RateLimit(rate, **more), cold, 1000.0)
+    receivers = receiver_model.ReceiverModel(rng)
+    return receivers, receivers.add(
+        receiver_model.Endpoint(
+            "d1-0",
+            destination,
+            "east",
+            workers,
+            queue,
+            10**9,
+            receiver_model.service_time_sampler(kind, mean, 1.0, rng),
+            mean,
+        )
+    )
+
+
+def waits_at(load, calls, seed=20, **more):
+    """(mean wait before service in ms, share rejected) with Poisson arrivals at so much load a worker."""
+    rng = random.Random(seed)
+    receivers, endpoint = build_receiver(rng, **more)
+    gap = endpoint.mean_service_ms / load / endpoint.workers
+    now, stay, ended, rejected, begun = 0.0, 0.0, 0, 0, 0
+    for number in range(calls):
+        now += rng.expovariate(1.0 / gap)
+        for _ in receivers.advance(now):
+            ended += 1
+        in_system = endpoint.busy_workers + len(endpoint.queue)
+        stay += max(0, in_system - endpoint.workers)  # PASTA: arrivals see the time average of the queue
+        begun += 1
+        _, answer = receivers.arrive(now, endpoint, number)
+        rejected += answer is not None
+    return stay / begun * gap, rejected / begun  # Little: mean queue = arrivals x mean wait
+
+
+def erlang_b(workers, offered):
+    blocked = 1.0
+    for n in range(1, workers + 1):
+        blocked = offered * blocked / (n + offered * blocked)
+    return blocked
+
+
+def erlang_c(workers, offered):
+    blocked = erlang_b(workers, offered)
+    return workers * blocked / (workers - offered * (1 - blocked))
+
+
+def test_one_worker_waits_as_theory_says():
+    wait, _ = waits_at(0.6, 400_000)
+    assert wait == pytest.approx(0.6 / (1 - 0.6) * 10.0, rel=WITHIN)
+
+
+def test_many_workers_wait_as_theory_says():
+    wait, _ = waits_at(0.65, 500_000, workers=4)
+    offered = 2.6
+    assert wait == pytest.approx(erlang_c(4, offered) * 10.0 / (4 - offered), rel=WITHIN)
+
+
+def test_fixed_service_waits_half_as_long():
+    wait, _ = waits_at(0.6, 300_000, kind="fixed")
+    assert wait == pytest.approx(0.6 / (2 * (1 - 0.6)) * 10.0, rel=WITHIN)
+
+
+def test_loss_without_a_queue_is_erlangs():
+    _, rejected = waits_at(0.9, 200_000, workers=5, queue=0)
+    assert rejected == pytest.approx(erlang_b(5, 4.5), rel=WITHIN)
+
+
+def test_lognormal_service_has_its_mean_and_spread():
+    draw = receiver_model.service_time_sampler("lognormal", 20.0, 1.4, random.Random(3))
+    values = [draw() for _ in range(200_000)]
+    mean = sum(values) / len(values)
+    cv = math.sqrt(sum((v - mean) ** 2 for v in values) / len(values)) / mean
+    assert mean == pytest.approx(20.0, rel=WITHIN) and cv == pytest.approx(1.4, rel=2 * WITHIN)
+
+
+def outcomes_at(receivers, endpoint, moments):
+    rows = []
+    for number, at in enumerate(moments):
+        receivers.advance(at)
+        _, answer = receivers.arrive(at, endpoint, number)
+        rows.append((answer.outcome, answer.retry_after_ms) if answer else ("in", 0.0))
+    return rows
+
+
+def test_smooth_limit_and_its_waits_are_honest():
+    receivers, endpoint = build_receiver(random.Random(1), workers=50, rate=10.0, burst=1)
+    assert outcomes_at(receivers, endpoint, [0.0, 40.0, 99.0]) == [("in", 0.0), ("full", 60.0), ("full", 1.0)]
+    assert outcomes_at(receivers, endpoint, [100.0]) == [("in", 0.0)]
+
+
+def test_refusals_may_use_the_limit_up():
+    kept, used = (
+        build_receiver(random.Random(1), workers=50, rate=10.0, span_ms=1000.0, refusals_use=use)
+        for use in (False, True)
+    )
+    moments = [float(at) for at in range(0, 1000, 50)]
+    for receivers, endpoint in (kept, used):
+        outcomes = Counter(outcome for outcome, _ in outcomes_at(receivers, endpoint, moments))
+        assert outcomes == {"in": 10, "full": 10}
+    smooth_kept, smooth_used = (
+        build_receiver(random.Random(1), workers=50, rate=10.0, refusals_use=use) for use in (False, True)
+    )
+    counts = [
+        sum(outcome == "in" for outcome, _ in outcomes_at(*pair, [float(at) for at in range(0, 5000, 50)]))
+        for pair in (smooth_kept, smooth_used)
+    ]
+    assert counts[0] == 51 and counts[1] < 10
+
+
+def test_waits_in_a_span_end_with_it():
+    receivers, endpoint = build_receiver(random.Random(1), workers=50, rate=2.0, span_ms=1000.0)
+    assert outcomes_at(receivers, endpoint, [0.0, 1.0, 400.0, 1000.0])[2:] == [("full", 600.0), ("in", 0.0)]
+
+
+def test_a_full_queue_turns_away():
+    receivers, endpoint = build_receiver(random.Random(1), queue=2, kind="fixed")
+    assert [outcome for outcome, _ in outcomes_at(receivers, endpoint, [0.0, 1.0, 2.0, 3.0])] == [
+        "in",
+        "in",
+        "in",
+        "shut",
+    ]
+
+
+def test_a_pause_moves_every_end_and_keeps_their_order():
+    receivers, endpoint = build_receiver(random.Random(1), workers=2, kind="fixed")
+    first, _ = receivers.arrive(0.0, endpoint, "a")
+    second, _ = receivers.arrive(4.0, endpoint, "b")
+    receivers.apply(5.0, "pause", [endpoint], for_ms=100.0)
+    third, _ = receivers.arrive(6.0, endpoint, "c")
+    assert receivers.advance(109.9) == []
+    assert [(a.call.tag, a.outcome) for a in receivers.advance(200.0)] == [
+        ("a", "done"),
+        ("b", "done"),
+        ("c", "done"),
+    ]
+    assert endpoint.busy_workers == 0 and receivers.next_completion_at() == math.inf
+
+
+def test_a_death_ends_what_it_held_and_none_of_it_comes_later():
+    receivers, endpoint = build_receiver(random.Random(1), kind="fixed")
+    for tag in "abc":
+        receivers.arrive(0.0, endpoint, tag)
+    assert [(a.call.tag, a.outcome) for a in receivers.apply(5.0, "refuse", [endpoint])] == [
+        ("a", "reset"),
+        ("b", "reset"),
+        ("c", "reset"),
+    ]
+    assert not receivers.open_connection(endpoint)
+    receivers.apply(50.0, "heal", [endpoint])
+    assert (
+        receivers.advance(500.0) == [] and receivers.open_connection(endpoint) and endpoint.busy_workers == 0
+    )
+
+
+def test_warmth_after_a_return_and_the_fall():
+    rng, rows = random.Random(1), []
+    receivers, endpoint = build_receiver(rng, workers=50, kind="fixed", rate=20.0, cold=0.2)
+    receivers.on_event = lambda at, what, *words: rows.append(what)
+    destination = endpoint.destination
+    destination.overload_multiple, destination.fall_ms = 2.0, 500.0
+    receivers.apply(0.0, "refuse", [endpoint])
+    receivers.apply(1000.0, "heal", [endpoint])
+    assert destination.warmth(1000.0) == pytest.approx(0.2) and destination.warmth(1500.0) == pytest.approx(
+        0.6
+    )
+    outcomes = [
+        outcome for outcome, _ in outcomes_at(receivers, endpoint, [1000.0 + 5.0 * n for n in range(30)])
+    ]
+    assert "falls" in rows and outcomes[-1] == "reset" and endpoint.is_crashed
+    assert 8 <= rows[: rows.index("falls")].count("arrives") <= 20
+
+
+def test_no_fall_within_the_budget_nor_once_warm():
+    receivers, endpoint = build_receiver(random.Random(1), workers=50, kind="fixed", rate=20.0, cold=0.2)
+    endpoint.destination.overload_multiple, endpoint.destination.fall_ms = 2.0, 500.0
+    receivers.apply(0.0, "refuse", [endpoint])
+    receivers.apply(1000.0, "heal", [endpoint])
+    outcomes_at(receivers, endpoint, [1000.0 + 100.0 * n for n in range(10)])
+    outcomes_at(receivers, endpoint, [2001.0 + n for n in range(200)])
+    assert not endpoint.destination.is_overloaded and not endpoint.is_crashed
+
+
+def test_the_connection_table_has_a_bound():
+    receivers, endpoint = build_receiver(random.Random(1))
+    endpoint.max_connections = 2
+    assert [receivers.open_connection(endpoint) for _ in range(3)] == [True, True, False]
+    receivers.close_connection(endpoint)
+    assert receivers.open_connection(endpoint)
+
+
+SEEDED_SCRIPT = """
+import json, random, sys
+from swiftthread.lab import receiver_model
+rng, rows = random.Random(99), []
+receivers = receiver_model.ReceiverModel(rng, lambda *row: rows.append(row))
+endpoints = []
+for number in range(3):
+    limit = receiver_model.RateLimit(50.0, 1000.0 * (number == 1), refusals_use=number == 2)
+    destination = receiver_model.Destination(number, limit, 0.2, 900.0, 2.0)
+    for at in range(2):
+        service = receiver_model.service_time_sampler("lognormal", 20.0, 1.2, rng)
+        endpoint = receiver_model.Endpoint(f"d{number}-{at}", destination, "east", 2, 4, 9, service, 20.0)
+        endpoints.append(receivers.add(endpoint))
+now = 0.0
+for number in range(6000):
+    now += rng.expovariate(0.2)
+    receivers.advance(now)
+    if number % 500 == 100:
+        fault = rng.choice(["refuse", "vanish", "errors", "slow", "swallow"])
+        receivers.apply(now, fault, endpoints[:2], 0.4, 0.0, 3.0)
+    if number % 500 == 300:
+        receivers.apply(now, "heal", endpoints)
+        receivers.apply(now, "pause", endpoints[2:3], for_ms=300.0)
+    receivers.arrive(now, rng.choice(endpoints), number)
+sys.stdout.write(json.dumps(rows))
+"""
+
+
+def test_the_same_seed_gives_the_same_events_byte_by_byte():
+    runs = [
+        subprocess.run(
+            [sys.executable, "-c", SEEDED_SCRIPT],
+            capture_output=True,
+            check=True,
+            env={"PYTHONSEEDED_SCRIPTSEED": str(seed), "PYTHONPATH": "."},
+        ).stdout
+        for seed in (0, 1, 2)
+    ]
+    assert len({hashlib.sha256(run).hexdigest() for run in runs}) == 1
+    kinds = Counter(row[1] for row in json.loads(runs[0]))
+    assert {"arrives", "done", "full", "error", "shut", "reset", "refuse", "heal"} <= set(kinds)
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -2,21 +2,21 @@
 
 import pytest
 
-from swiftthread.lab import referee, scripts
-from swiftthread.lab.records import (
-    Arrived,
-    HandedIn,
-    Heard,
-    Left,
-    Life,
-    Noticed,
-    Probed,
-    Replied,
-    Told,
-    Turned,
+from swiftthread.lab import incident_file, referee
+from swiftthread.lab.run_records import (
+    CallerDisconnected,
+    CallReceived,
+    ClientAnswered,
+    DestinationChanged,
+    EndpointStateAnnounced,
+    EventSubmitted,
+    HealthCheckReceived,
+    NodeLifecycleChanged,
+    NotificationReceived,
+    ReplySent,
 )
 
-SCRIPT = scripts.parse(
+INCIDENT = incident_file.parse(
     """
 format = 1
 title = "-"
@@ -47,79 +47,91 @@
 )
 
 
-class Day:
+class RecordedRun:
     """Rows, written as a story."""
 
     def __init__(self):
         self.rows, self.calls = [], 0
 
-    def take(self, ident, at=0.0, stream="idem", status=202, subject="", **more):
+    def submit(self, event_id, at=0.0, stream="idem", status=202, subject="", **more):
         self.rows.append(
-            HandedIn(
+            EventSubmitted(
                 at,
-                ident,
-                more.get("origin", ident),
+                event_id,
+                more.get("original_id", event_id),
                 more.get("node", "n0"),
                 stream,
                 1,
                 "",
                 subject,
-                more.get("ends_at", at + 5000.0),
+                more.get("expires_at", at + 5000.0),
                 at,
             )
         )
-        self.rows.append(Heard(at + 2.0, ident, status))
+        self.rows.append(ClientAnswered(at + 2.0, event_id, status))
         return self
 
-    def send(self, ident, at, said=None, after=10.0, hall="east", wait=0.0, left=None, endpoint="d1-0"):
+    def attempt(
+        self,
+        event_id,
+        at,
+        outcome=None,
+        after=10.0,
+        zone="east",
+        wait=0.0,
+        disconnected_at=None,
+        endpoint="d1-0",
+    ):
         self.calls += 1
-        self.rows.append(Arrived(at, self.calls, [ident], endpoint, 1, hall, at))
-        if said:
-            self.rows.append(Replied(at + after, self.calls, said, wait))
-        elif left:
-            self.rows.append(Left(left, self.calls))
+        self.rows.append(CallReceived(at, self.calls, [event_id], endpoint, 1, zone, at))
+        if outcome:
+            self.rows.append(ReplySent(at + after, self.calls, outcome, wait))
+        elif disconnected_at:
+            self.rows.append(CallerDisconnected(disconnected_at, self.calls))
         return self
 
-    def row(self, *rows):
+    def add(self, *rows):
         self.rows += rows
         return self
 
-    def notice(self, ident, at, outcome="handed_back"):
-        return self.row(Noticed(at, "n0", ident, outcome))
+    def notify(self, event_id, at, outcome="handed_back"):
+        return self.add(NotificationReceived(at, "n0", event_id, outcome))
 
-    def broken(self):
-        end = Life(60_000.0, "n9", "ready")  # the run goes on long enough for every end to be owed
+    def broken_rules(self):
+        end = NodeLifecycleChanged(
+            60_000.0, "n9", "ready"
+        )  # the run goes on long enough for every end to be owed
         rows = sorted([*self.rows, end], key=lambda row: row.at)
-        return sorted({breach.rule for breach in referee.judge(SCRIPT, rows)[1]})
+        return sorted({breach.rule for breach in referee.judge(INCIDENT, rows)[1]})
 
 
-def acked(ident, at=0.0, **more):
-    return Day().take(ident, at, **more).send(ident, at + 10.0, "done")
+def acked(event_id, at=0.0, **more):
+    return RecordedRun().submit(event_id, at, **more).attempt(event_id, at + 10.0, "done")
 
 
 @pytest.mark.parametrize(
-    "day, rules",
+    "recorded, rules",
     [
         (acked("a"), []),
-        (Day().take("a"), ["one end"]),
-        (Day().take("a").notice("a", 5290.0), []),
-        (Day().take("a").notice("a", 5310.0), ["one end"]),
-        (Day().take("a").notice("a", 100.0).notice("a", 200.0), []),
-        (Day().take("a").notice("a", 100.0).notice("a", 200.0, "given_up"), ["one end"]),
-        (acked("a").notice("a", 300.0), ["one end"]),
-        (acked("a").notice("a", 300.0, "given_up"), []),
-        (Day().take("a", status=503), []),
-        (Day().take("a", status=503).send("a", 10.0, "done"), ["one end"]),
-        (Day().take("a").send("a", 5040.0, "done"), []),
-        (Day().take("a").send("a", 5060.0, "done"), ["one end"]),
-        (Day().take("a").notice("a", 100.0).send("a", 140.0, "full"), []),
-        (Day().take("a").notice("a", 100.0).send("a", 160.0, "full"), ["one end"]),
-        (Day().send("x", 10.0, "done"), ["own events"]),
+        (RecordedRun().submit("a"), ["one end"]),
+        (RecordedRun().submit("a").notify("a", 5290.0), []),
+        (RecordedRun().submit("a").notify("a", 5310.0), ["one end"]),
+        (RecordedRun().submit("a").notify("a", 100.0).notify("a", 200.0), []),
+        (RecordedRun().submit("a").notify("a", 100.0).notify("a", 200.0, "given_up"), ["one end"]),
+        (acked("a").notify("a", 300.0), ["one end"]),
+        (acked("a").notify("a", 300.0, "given_up"), []),
+        (RecordedRun().submit("a", status=503), []),
+        (RecordedRun().submit("a", status=503).attempt("a", 10.0, "done"), ["one end"]),
+        (RecordedRun().submit("a").attempt("a", 5040.0, "done"), []),
+        (RecordedRun().submit("a").attempt("a", 5060.0, "done"), ["one end"]),
+        (RecordedRun().submit("a").notify("a", 100.0).attempt("a", 140.0, "full"), []),
+        (RecordedRun().submit("a").notify("a", 100.0).attempt("a", 160.0, "full"), ["one end"]),
+        (RecordedRun().attempt("x", 10.0, "done"), ["own events"]),
     ],
-    ids=lambda value: None if isinstance(value, list) else "day",
+    ids=lambda value: None if isinstance(value, list) else "recorded",
 )
-def test_one_end(day, rules):
-    assert day.broken() == rules
+def test_one_end(recorded, rules):
+    assert recorded.broken_rules() == rules
 
 
 @pytest.mark.parametrize(
@@ -132,24 +144,27 @@
         ("idem", ("reset", {}), (100.0, {}), []),
         ("dedup", ("error", {}), (1050.0, {}), []),
         ("dedup", ("error", {}), (1070.0, {}), ["no effect twice"]),
-        ("dedup", ("error", {}), (100.0, {"hall": "west"}), ["no effect twice"]),
-        ("dedup", ("full", {}), (100.0, {"hall": "west"}), []),
-        ("wide", ("error", {}), (100.0, {"hall": "west"}), []),
-        ("idem", (None, {"left": 150.0}), (90.0, {}), ["no effect twice"]),  # two out
-        ("idem", (None, {"left": 100.0}), (160.0, {}), []),
-        ("once", (None, {"left": 100.0}), (160.0, {}), ["no effect twice"]),
+        ("dedup", ("error", {}), (100.0, {"zone": "west"}), ["no effect twice"]),
+        ("dedup", ("full", {}), (100.0, {"zone": "west"}), []),
+        ("wide", ("error", {}), (100.0, {"zone": "west"}), []),
+        ("idem", (None, {"disconnected_at": 150.0}), (90.0, {}), ["no effect twice"]),  # two in flight
+        ("idem", (None, {"disconnected_at": 100.0}), (160.0, {}), []),
+        ("once", (None, {"disconnected_at": 100.0}), (160.0, {}), ["no effect twice"]),
     ],
 )
 def test_effects(stream, first, second, rules):
-    said, more = first
-    day = (
-        Day().take("a", stream=stream).send("a", 10.0, said, **more).send("a", second[0], "done", **second[1])
+    outcome, more = first
+    recorded = (
+        RecordedRun()
+        .submit("a", stream=stream)
+        .attempt("a", 10.0, outcome, **more)
+        .attempt("a", second[0], "done", **second[1])
     )
-    assert day.broken() == rules
+    assert recorded.broken_rules() == rules
 
 
 @pytest.mark.parametrize(
-    "stream, said, rules",
+    "stream, outcome, rules",
     [
         ("once", "full", []),
         ("once", "error", ["no effect twice"]),
@@ -158,8 +173,11 @@
         ("idem", "error", []),
     ],
 )
-def test_handed_back_only_where_it_can_do_no_harm(stream, said, rules):
-    assert Day().take("a", stream=stream).send("a", 10.0, said).notice("a", 100.0).broken() == rules
+def test_handed_back_only_where_it_can_do_no_harm(stream, outcome, rules):
+    assert (
+        RecordedRun().submit("a", stream=stream).attempt("a", 10.0, outcome).notify("a", 100.0).broken_rules()
+        == rules
+    )
 
 
 @pytest.mark.parametrize(
@@ -172,19 +190,31 @@
     ],
 )
 def test_drains(state, at, rules):
-    day = Day().take("a", 90.0).row(Told(100.0, "n0", "d1-0", state)).send("a", at, "done")
-    assert day.broken() == rules
-    other = Day().take("a", 90.0).row(Told(100.0, "n1", "d1-0", state)).send("a", at, "done")
-    assert other.broken() == []  # another node was told
+    recorded = (
+        RecordedRun()
+        .submit("a", 90.0)
+        .add(EndpointStateAnnounced(100.0, "n0", "d1-0", state))
+        .attempt("a", at, "done")
+    )
+    assert recorded.broken_rules() == rules
+    other = (
+        RecordedRun()
+        .submit("a", 90.0)
+        .add(EndpointStateAnnounced(100.0, "n1", "d1-0", state))
+        .attempt("a", at, "done")
+    )
+    assert other.broken_rules() == []  # another node was notified
 
 
 @pytest.mark.parametrize("calls, rules", [(16, []), (40, ["fall budget"])])
 def test_fall_budget(calls, rules):
     # 20 calls a second, cold from 0.2: at its return 2 x 20 x 0.2 x 2 s = 16 calls in any 2 s, and the slack.
-    day = Day().row(Turned(1000.0, 1, "out", 0.02), Turned(2000.0, 1, "back", 0.02))
+    recorded = RecordedRun().add(
+        DestinationChanged(1000.0, 1, "out", 0.02), DestinationChanged(2000.0, 1, "back", 0.02)
+    )
     for number in range(calls):
-        day.row(Probed(2010.0 + number, "d1-0", 1))
-    assert day.broken() == rules
+        recorded.add(HealthCheckReceived(2010.0 + number, "d1-0", 1))
+    assert recorded.broken_rules() == rules
 
 
 @pytest.mark.parametrize(
@@ -197,63 +227,75 @@
     ],
 )  # the first is unfinished
 def test_order(second_at, first, rules):
-    said, more = first
-    day = Day().take("a", 0.0, "turn", subject="s").take("b", 5.0, "turn", subject="s")
-    day.send("a", 10.0, said, **more).send("b", second_at, "done")
-    if said == "reset":
-        day.send("a", 700.0, "done")
-    assert day.broken() == rules
+    outcome, more = first
+    recorded = RecordedRun().submit("a", 0.0, "turn", subject="s").submit("b", 5.0, "turn", subject="s")
+    recorded.attempt("a", 10.0, outcome, **more).attempt("b", second_at, "done")
+    if outcome == "reset":
+        recorded.attempt("a", 700.0, "done")
+    assert recorded.broken_rules() == rules
 
 
 def test_other_subjects_and_nodes_are_free():
-    day = Day().take("a", 0.0, "turn", subject="s").take("b", 5.0, "turn", subject="t")
-    day.take("c", 6.0, "turn", subject="s", node="n1").send("b", 12.0, "done").send("c", 13.0, "done")
-    assert day.send("a", 300.0, "done").broken() == []
+    recorded = RecordedRun().submit("a", 0.0, "turn", subject="s").submit("b", 5.0, "turn", subject="t")
+    recorded.submit("c", 6.0, "turn", subject="s", node="n1").attempt("b", 12.0, "done").attempt(
+        "c", 13.0, "done"
+    )
+    assert recorded.attempt("a", 300.0, "done").broken_rules() == []
 
 
 @pytest.mark.parametrize(
     "at, node, rules", [(110.0, "n0", []), (160.0, "n0", ["told wait"]), (160.0, "n1", []), (970.0, "n0", [])]
 )
 def test_waits(at, node, rules):
-    day = Day().take("a", node="n0").send("a", 10.0, "full", wait=1000.0)
-    day.take("b", 5.0, node=node).send("b", at, "done").send("a", 2000.0, "done")
-    assert day.broken() == rules
+    recorded = RecordedRun().submit("a", node="n0").attempt("a", 10.0, "full", wait=1000.0)
+    recorded.submit("b", 5.0, node=node).attempt("b", at, "done").attempt("a", 2000.0, "done")
+    assert recorded.broken_rules() == rules
 
 
 def test_a_restart_ends_a_wait():
-    day = (
-        Day()
-        .take("a")
-        .send("a", 10.0, "full", wait=1000.0)
-        .row(Life(50.0, "n0", "killed"), Life(300.0, "n0", "ready"))
+    recorded = (
+        RecordedRun()
+        .submit("a")
+        .attempt("a", 10.0, "full", wait=1000.0)
+        .add(NodeLifecycleChanged(50.0, "n0", "killed"), NodeLifecycleChanged(300.0, "n0", "ready"))
     )
-    assert day.send("a", 400.0, "done").broken() == []
+    assert recorded.attempt("a", 400.0, "done").broken_rules() == []
 
 
 def test_logged_before_202():
-    day = acked("a").take("b", 100.0).row(Life(200.0, "n0", "killed"), Life(900.0, "n0", "ready"))
-    assert "logged" in day.broken()
-    assert day.send("b", 1000.0, "done").broken() == []
+    recorded = (
+        acked("a")
+        .submit("b", 100.0)
+        .add(NodeLifecycleChanged(200.0, "n0", "killed"), NodeLifecycleChanged(900.0, "n0", "ready"))
+    )
+    assert "logged" in recorded.broken_rules()
+    assert recorded.attempt("b", 1000.0, "done").broken_rules() == []
 
 
 def test_overdue_ends_wait_for_the_next_life():
-    day = Day().take("a").row(Life(4900.0, "n0", "killed"), Life(9000.0, "n0", "ready"))
-    assert "one end" in day.broken()
-    assert day.notice("a", 10_400.0).broken() == []
+    recorded = (
+        RecordedRun()
+        .submit("a")
+        .add(NodeLifecycleChanged(4900.0, "n0", "killed"), NodeLifecycleChanged(9000.0, "n0", "ready"))
+    )
+    assert "one end" in recorded.broken_rules()
+    assert recorded.notify("a", 10_400.0).broken_rules() == []
 
 
 @pytest.mark.parametrize(
-    "late, worth", [(0.0, 1.0), (1500.0, 1.0), (3250.0, 0.75), (5000.0, 0.5), (5000.1, 0.0)]
+    "late, utility", [(0.0, 1.0), (1500.0, 1.0), (3250.0, 0.75), (5000.0, 0.5), (5000.1, 0.0)]
 )
-def test_worth_of_an_ack(late, worth):
-    assert referee.worth(SCRIPT.stream[0], late) == pytest.approx(worth)
+def test_utility_of_an_ack(late, utility):
+    assert referee.utility_of_ack(INCIDENT.stream[0], late) == pytest.approx(utility)
 
 
 def test_the_service_measure_counts_first_hand_ins():
-    day = acked("a").take("b", 100.0, status=503).take("b.1", 600.0, origin="b", ends_at=5100.0)
-    day.send("b.1", 700.0, "done").take("c", 200.0).notice("c", 900.0)
-    case, _ = referee.judge(SCRIPT, sorted(day.rows, key=lambda row: row.at))
-    service = referee.Service(case)
+    recorded = (
+        acked("a").submit("b", 100.0, status=503).submit("b.1", 600.0, original_id="b", expires_at=5100.0)
+    )
+    recorded.attempt("b.1", 700.0, "done").submit("c", 200.0).notify("c", 900.0)
+    evidence, _ = referee.judge(INCIDENT, sorted(recorded.rows, key=lambda row: row.at))
+    service = referee.ServiceMeasure(evidence)
     assert service.offered == 3.0 and service.measure() == pytest.approx(2.0 / 3.0)
     assert (
         service.counts["events"] == 3 and service.counts["acked"] == 2 and service.counts["handed_back"] == 1
--- a/tests/lab/wrong_node.py
+++ b/tests/lab/wrong_node.py
@@ -9,57 +9,57 @@
 from swiftthread.lab import relay
 
 
-class Right(relay.Relay):
-    """Breaks nothing that the scripts it meets can show."""
+class Correct(relay.SingleAttemptNode):
+    """Breaks nothing that the incidents it meets can show."""
 
     async def strategy(self, event):
         status, _ = await self.send(event)
-        return None if status == 200 else self.end(event)
+        return None if status == 200 else self.final_outcome(event)
 
 
-class NoEnd(Right):
+class LosesEvents(Correct):
     """Takes every tenth event and forgets it."""
 
     async def strategy(self, event):
-        self.turn["seen"] += 1
-        return None if self.turn["seen"] % 10 == 0 else await super().strategy(event)
+        self.round_robin["seen"] += 1
+        return None if self.round_robin["seen"] % 10 == 0 else await super().strategy(event)
 
 
-class TwoEnds(Right):
+class NotifiesTwice(Correct):
     """Tells two ends of one event."""
 
     async def strategy(self, event):
-        await self.tell({"message": event.ident, "outcome": "handed_back"})
+        await self.notify({"message": event.event_id, "outcome": "handed_back"})
         return "given_up"
 
 
-class Late(Right):
+class SendsExpired(Correct):
     """Sends once the max age is over."""
 
     async def strategy(self, event):
-        await asyncio.sleep(event.left() / 1000.0 + 0.1)
+        await asyncio.sleep(event.remaining_ms() / 1000.0 + 0.1)
         return await super().strategy(event)
 
 
-class Unsaid(Right):
-    """Answers 503, and sends all the same."""
+class SendsRejected(Correct):
+    """Rejects with 503, and sends all the same."""
 
-    def take(self, headers, target, body):
-        status, event = super().take(headers, target, body)
+    def accept(self, headers, target, body):
+        status, event = super().accept(headers, target, body)
         return 503 if status == 202 else status, event
 
 
-class Twice(Right):
+class RetriesUnsafely(Correct):
     """Sends again, whatever the stream type, though it may have run."""
 
     async def strategy(self, event):
         status, _ = await self.send(event)
         if status != 200:
             status, _ = await self.send(event)
-        return None if status == 200 else self.end(event)
+        return None if status == 200 else self.final_outcome(event)
 
 
-class PastWindow(Right):
+class RetriesAfterWindow(Correct):
     """Sends a deduplicated event again once its window is over."""
 
     async def strategy(self, event):
@@ -71,37 +71,37 @@
         return "given_up"
 
 
-class OtherGroup(Right):
-    """Sends a deduplicated event again in the other hall."""
+class RetriesInOtherZone(Correct):
+    """Sends a deduplicated event again in the other zone."""
 
     async def strategy(self, event):
-        rows = self.dests[event.dest]
-        for place in rows:
-            if (await self.call(event, place))[0] == 200:
+        rows = self.destinations[event.destination]
+        for endpoint in rows:
+            if (await self.call(event, endpoint))[0] == 200:
                 return None
         return "given_up"
 
 
-class TwoOut(Right):
+class SendsConcurrently(Correct):
     """Does not wait for the first send's end."""
 
     async def strategy(self, event):
-        both = await asyncio.gather(self.send(event), self.send(event))
-        return None if any(status == 200 for status, _ in both) else self.end(event)
+        results = await asyncio.gather(self.send(event), self.send(event))
+        return None if any(status == 200 for status, _ in results) else self.final_outcome(event)
 
 
-class Drains(Right):
+class IgnoresDraining(Correct):
     """Never reads the list again."""
 
-    async def follow(self):
+    async def follow_discovery(self):
         await asyncio.sleep(3600)
 
 
-class Crowds(Right):
+class FloodsRecovery(Correct):
     """Tries again at once until it is acked."""
 
     async def strategy(self, event):
-        while event.left() > 50.0:
+        while event.remaining_ms() > 50.0:
             status, _ = await self.send(event)
             if status == 200:
                 return None
@@ -109,7 +109,7 @@
         return "handed_back"
 
 
-class OutOfOrder(Right):
+class SendsOutOfOrder(Correct):
     """Sends each event when it likes."""
 
     async def strategy(self, event):
@@ -117,23 +117,23 @@
         return await super().strategy(event)
 
 
-RULES = {
+NODES = {
     kind.__name__: kind
     for kind in (
-        Right,
-        NoEnd,
-        TwoEnds,
-        Late,
-        Unsaid,
-        Twice,
-        PastWindow,
-        OtherGroup,
-        TwoOut,
-        Drains,
-        Crowds,
-        OutOfOrder,
+        Correct,
+        LosesEvents,
+        NotifiesTwice,
+        SendsExpired,
+        SendsRejected,
+        RetriesUnsafely,
+        RetriesAfterWindow,
+        RetriesInOtherZone,
+        SendsConcurrently,
+        IgnoresDraining,
+        FloodsRecovery,
+        SendsOutOfOrder,
     )
 }
 
 if __name__ == "__main__":
-    relay.main(RULES[sys.argv[1]])
+    relay.main(NODES[sys.argv[1]])
