--- a/swiftthread/lab/cli.py
+++ b/swiftthread/lab/cli.py
@@ -74,9 +74,8 @@
     """Run it with Ctrl-C and SIGTERM both as an orderly end of everything that was started."""
     from swiftthread.lab.runner import RunError
 
-    signal.signal(
-        signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT)
-    )  # the loop turns that into a cancel
+    # The loop turns SIGINT into a cancel.
+    signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT))
     try:
         return anyio.run(coroutine_function, *args)
     except* RunError as faults:
--- a/swiftthread/lab/emulator.py
+++ b/swiftthread/lab/emulator.py
@@ -41,7 +41,8 @@
 }
 LAG_CHECK_INTERVAL_MS = 10.0  # ms between two looks at the loop's own lag
 WATCH_HEARTBEAT_INTERVAL_S = 2.0  # s between empty lines on a watch, the protocol's
-SLOW_IO_CHUNK_BYTES, SLOW_IO_INTERVAL_MS = 64, 20.0  # bytes and ms of a slow reader or writer
+SLOW_IO_CHUNK_BYTES = 64  # bytes that a slow reader or writer takes at once
+SLOW_IO_INTERVAL_MS = 20.0  # ms between two of its chunks
 SOCKET_FAULTS = ("reset_before", "slow_read", "slow_write")
 
 
--- a/swiftthread/lab/load.py
+++ b/swiftthread/lab/load.py
@@ -162,11 +162,9 @@
         self.rng, self.numbers = random.Random(f"clients {seed} {part}"), count()
         self.idle = [deque() for _ in nodes]
         self.body = bytes(self.rng.choices(b"abcdefghijklmnopqrstuvwxyz ", k=self.load.body_bytes))
-        self.accepted, self.tasks, self.max_lag_ms = (
-            {},
-            set(),
-            0.0,
-        )  # accepted: event_id -> event; emptied as their max age passes
+        self.accepted = {}  # event_id -> event; emptied as their max age passes
+        self.tasks = set()
+        self.max_lag_ms = 0.0
         self.histogram = HdrHistogram(1, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS)
         self.submissions_end_at = 0.0  # moment after which nothing is submitted
 
--- a/swiftthread/lab/receiver_model.py
+++ b/swiftthread/lab/receiver_model.py
@@ -23,10 +23,9 @@
     "nothing",
 )
 
-OVERLOAD_SLACK_CALLS, OVERLOAD_SLACK_SIGMAS = (
-    3.0,
-    3.0,
-)  # calls, and x their square root: chance that a fall budget leaves room for
+# Slack of a recovery budget for chance.
+OVERLOAD_SLACK_CALLS = 3.0  # calls
+OVERLOAD_SLACK_SIGMAS = 3.0  # x the budget's square root
 
 
 class Answer(NamedTuple):
@@ -209,10 +208,8 @@
 
     def __init__(self, rng, on_event=lambda *row: None):
         self.rng, self.on_event, self.endpoints, self.destinations = rng, on_event, {}, {}
-        self.completions, self.completion_sequence = (
-            [],
-            count(),
-        )  # heap of (moment, number, call); emptied as calls end
+        self.completions = []  # heap of (moment, number, call); emptied as calls end
+        self.completion_sequence = count()
 
     def add(self, endpoint):
         self.destinations[endpoint.destination.number], self.endpoints[endpoint.name] = (
--- a/swiftthread/lab/referee.py
+++ b/swiftthread/lab/referee.py
@@ -17,10 +17,9 @@
 RETRY_AFTER_SLACK_MS = 100.0  # ms after a Retry-After was written in which calls were under way already
 CLOSE_RACE_MS = 50.0  # ms for which an answer and its caller's close may cross
 EXTRA_EVENT_LOAD = 0.05  # load of one more event in a call
-OVERLOAD_SLACK_CALLS, OVERLOAD_SLACK_SIGMAS = (
-    3.0,
-    3.0,
-)  # chance that a fall budget leaves room for, as calls and x their square root
+# Slack of a recovery budget for chance.
+OVERLOAD_SLACK_CALLS = 3.0  # calls
+OVERLOAD_SLACK_SIGMAS = 3.0  # x the budget's square root
 
 
 class Breach(NamedTuple):
@@ -392,9 +391,8 @@
         )
         starts = [at for at, state in evidence.lifecycle[node] if state == "ready"]
         for replied_at, wait_ends_at in waits:
-            wait_ends_at = min(
-                [wait_ends_at] + [at for at in starts if at > replied_at]
-            )  # a restart ends the wait
+            # A restart ends the wait.
+            wait_ends_at = min([wait_ends_at] + [at for at in starts if at > replied_at])
             for attempt in attempts:
                 if replied_at + RETRY_AFTER_SLACK_MS < attempt.first_byte_at < wait_ends_at - SLACK_MS:
                     yield Breach(
--- a/swiftthread/lab/relay.py
+++ b/swiftthread/lab/relay.py
@@ -18,20 +18,13 @@
 from swiftthread.lab.load import HttpClientConnection
 
 CALL_TIMEOUT_MS = 1500.0  # of a call: a few usual latencies, and no more than the rest of the max age
-BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 3000.0  # first and longest pause; full jitter between 0 and it
+BACKOFF_MS = 100.0  # ms of the first backoff; full jitter between 0 and it
+MAX_BACKOFF_MS = 3000.0  # ms of the longest
 DISCOVERY_POLL_INTERVAL_S = 1.0  # between two looks at discovery
-INITIAL_CONCURRENCY_LIMIT, DECREASE_FACTOR = (
-    10.0,
-    0.5,
-)  # AIMD: calls in flight at a destination at first; what a failure leaves of the limit
-MAY_HAVE_RUN_BY_STATUS = {
-    429: False,
-    503: False,
-    400: False,
-    410: False,
-    413: False,
-    504: False,
-}  # status -> may have run
+INITIAL_CONCURRENCY_LIMIT = 10.0  # AIMD: calls in flight at a destination at first
+DECREASE_FACTOR = 0.5  # AIMD: share of the limit that a failure leaves
+# Statuses that rule out an execution; any other may have run.
+MAY_HAVE_RUN_BY_STATUS = {429: False, 503: False, 400: False, 410: False, 413: False, 504: False}
 
 
 def wall_clock_ms():
@@ -47,10 +40,8 @@
         self.subject = target.lstrip("/").partition("/")[2]
         self.destination = int(headers["x-route-to"].partition("dest=")[2])
         self.expires_at = wall_clock_ms() + float(headers["x-remaining"].rstrip("m"))
-        self.attempts, self.possible_execution = (
-            0,
-            None,
-        )  # (moment, zone) of the first attempt that may have run
+        self.attempts = 0
+        self.possible_execution = None  # (moment, zone) of the first attempt that may have run
 
     def remaining_ms(self):
         return self.expires_at - wall_clock_ms()
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -98,9 +98,8 @@
         return self.add(NotificationReceived(at, "n0", event_id, outcome))
 
     def broken_rules(self):
-        end = NodeLifecycleChanged(
-            60_000.0, "n9", "ready"
-        )  # the run goes on long enough for every end to be owed
+        # The run goes on long enough for every outcome to be due.
+        end = NodeLifecycleChanged(60_000.0, "n9", "ready")
         rows = sorted([*self.rows, end], key=lambda row: row.at)
         return sorted({breach.rule for breach in referee.judge(INCIDENT, rows)[1]})
 
