--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -199,8 +199,10 @@
         # By number, as the list names them; endpoints leave when long gone.
         self.destinations: dict = {}
         self.endpoints: dict = {}
-        self.ordering_queues: dict = {}  # key -> [events in order taken, rest until]; emptied when over and rested
-        self.down_endpoints: dict = {}  # sinks that are down, in the order they went; emptied by an ack or the list
+        # Ordering key -> [events in order taken, rest until]; emptied when they are finished and rested.
+        self.ordering_queues: dict = {}
+        # Endpoints that are down, in the order they went; emptied by an ack or the list.
+        self.down_endpoints: dict = {}
         self.newly_idle: dict = {}  # endpoints whose last call out has ended; emptied each turn
         self.connect, self.calls_in_flight, self.pending_count = AT_ONCE * settings.connect_timeout_ms, 0, 0
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,8 @@
 """What the tests share: scripts played to one instance, and stand-ins round a program that is started.
 
 `SimulatedNode` keeps a printed trace of decisions. A trace lives in tests/traces/ and is read by
-people. After a wanted change of behaviour, run the tests with WRITE_TRACES=1 once, then read the difference before it is committed.
+people. After a wanted change of behaviour, run the tests with WRITE_TRACES=1 once, then read the
+difference before it is committed.
 """
 
 import contextlib
