--- a/swiftthread/client/discovery_client.py
+++ b/swiftthread/client/discovery_client.py
@@ -20,9 +20,14 @@
 class DiscoveryClient:
     """Owner of the watch's connection and of the addresses."""
 
-    def __init__(self, address, buffers, kinds, zones, quiet_ms, connect_ms):
-        self.address, self.buffers, self.kinds, self.zones = address, buffers, kinds, zones
-        self.quiet_ms, self.connect_timeout_ms = quiet_ms, connect_ms
+    def __init__(self, address, buffers, kind_numbers, zone_numbers, quiet_ms, connect_timeout_ms):
+        self.address, self.buffers, self.kind_numbers, self.zone_numbers = (
+            address,
+            buffers,
+            kind_numbers,
+            zone_numbers,
+        )
+        self.quiet_ms, self.connect_timeout_ms = quiet_ms, connect_timeout_ms
         self.version, self.addresses = 0, {}  # endpoint id -> (host, port); emptied as endpoints go
         self.entries = {}  # endpoint id -> its entry as last read; emptied as endpoints go
         self.watching = anyio.CancelScope()
@@ -88,12 +93,12 @@
 
         A number of no kind where the settings don't name it: one event a call, no route of its own.
         """
-        if not (isinstance(name, str) and name in self.kinds):
+        if not (isinstance(name, str) and name in self.kind_numbers):
             logger.warning(
                 "endpoint {}: kind {!r} is none of the settings'; it gets one event a call", ident, name
             )
             return UNNAMED
-        return self.kinds[name]
+        return self.kind_numbers[name]
 
     def _zone(self, ident, name):
         """The zone's number; one of its own, the same after a restart, where the settings don't name it.
@@ -101,8 +106,8 @@
         Repeats that are known in one zone are known in no other. Without a name the endpoint is a zone of its
         own.
         """
-        if isinstance(name, str) and name in self.zones:
-            return self.zones[name]
+        if isinstance(name, str) and name in self.zone_numbers:
+            return self.zone_numbers[name]
         named = isinstance(name, str) and name
         if (said := name if named else ident) not in self.unknown_zones:
             self.unknown_zones[said] = UNNAMED + zlib.crc32(repr((bool(named), said)).encode())
--- a/swiftthread/client/endpoint_client.py
+++ b/swiftthread/client/endpoint_client.py
@@ -79,16 +79,33 @@
 class EndpointClient:
     """Owner of connections while a call is on them; idle ones are the store's."""
 
-    def __init__(self, tasks, connections, buffers, clock, wall, addresses, limits, report_names, leaves_by):
-        self.tasks, self.connections, self.buffers, self.clock, self.wall = (
+    def __init__(
+        self,
+        tasks,
+        connections,
+        buffers,
+        clock,
+        wall_clock,
+        addresses,
+        connect_timeout_ms,
+        report_fields,
+        send_deadline,
+    ):
+        self.tasks, self.connections, self.buffers, self.clock, self.wall_clock = (
             tasks,
             connections,
             buffers,
             clock,
-            wall,
+            wall_clock,
+        )
+        self.send_deadline = (
+            send_deadline  # the module's: (event, sink, now) -> by when its last byte has left
+        )
+        self.addresses, self.connect_timeout_ms, self.report_fields = (
+            addresses,
+            connect_timeout_ms,
+            report_fields,
         )
-        self.send_deadline = leaves_by  # the module's: (event, sink, now) -> by when its last byte has left
-        self.addresses, self.limits, self.report_names = addresses, limits, report_names
         self.batches = {}  # call -> letter; emptied each turn, when they leave
 
     async def send(self, pending, send):
@@ -129,7 +146,7 @@
             elif by := self._leaving(batch, place, started):
                 until = batch.until()
                 parts = request(connection, "POST", *self._written(batch, until))
-                written, connection.received_at = (self.clock(), self.wall()), None
+                written, connection.received_at = (self.clock(), self.wall_clock()), None
                 outcome = await self._ask(connection, parts, response, until, by)
             else:
                 outcome = SendOutcome.NOT_SENT
@@ -146,7 +163,9 @@
         if response.has_begun or response.is_complete:
             latency = self._latency(connection, *written)
         came_at = (
-            self.wall() if connection is None or connection.received_at is None else connection.received_at
+            self.wall_clock()
+            if connection is None or connection.received_at is None
+            else connection.received_at
         )
         self._read(
             batch,
@@ -247,7 +266,7 @@
         connection = self.connections.acquire(place)
         if connection is None:
             connection = (
-                await connect(address, self.buffers, parser(), self.limits.connect_timeout_ms)
+                await connect(address, self.buffers, parser(), self.connect_timeout_ms)
             ).enable_timestamps()
         return connection
 
@@ -319,7 +338,7 @@
     def _report(self, headers):
         try:
             values = json.loads(headers["x-pressure"])
-            fields = {name: float(values[name]) for name in self.report_names if name in values}
+            fields = {name: float(values[name]) for name in self.report_fields if name in values}
             return LoadReport.from_fields(fields) if all(map(math.isfinite, fields.values())) else None
         except UNREADABLE:
             return None
@@ -329,9 +348,9 @@
         started, response, connection, place = self.clock(), HttpResponse(), None, self._place(endpoint)
         outcome = SendOutcome.TIMED_OUT
         try:
-            with anyio.move_on_after(self.limits.connect_timeout_ms / 1000.0) as patience:
+            with anyio.move_on_after(self.connect_timeout_ms / 1000.0) as patience:
                 connection = await self._line(place)
-                target = "/_load" if self.report_names else "/ping"
+                target = "/_load" if self.report_fields else "/ping"
                 await exchange(connection, "GET", target, [("Host", "endpoint")], b"", response, patience)
         except ConnectionClosed:
             outcome = SendOutcome.UNREACHABLE
--- a/swiftthread/client/result_notifier.py
+++ b/swiftthread/client/result_notifier.py
@@ -14,8 +14,13 @@
 class ResultNotifier:
     """Owner of the connection that notices go on."""
 
-    def __init__(self, address, buffers, answer_ms, pause_ms):
-        self.address, self.buffers, self.answer, self.pause = address, buffers, answer_ms, pause_ms
+    def __init__(self, address, buffers, response_timeout_ms, retry_pause_ms):
+        self.address, self.buffers, self.answer, self.pause = (
+            address,
+            buffers,
+            response_timeout_ms,
+            retry_pause_ms,
+        )
         self.waiting = {}  # event id -> (line, flag); emptied as notices are answered
         self.bell, self.posting = anyio.Event(), anyio.CancelScope()
         self.line, self.line_to = None, None
@@ -26,13 +31,13 @@
             self.address = address
             self.posting.cancel()
 
-    async def notify(self, ident, outcome, retry_in_ms):
+    async def notify(self, event_id, decision):
         """Return once the platform has the notice."""
-        row = {"message": ident, "outcome": outcome}
-        if retry_in_ms:
-            row["retry_in_ms"] = round(retry_in_ms)
+        row = {"message": event_id, "outcome": decision.outcome}
+        if decision.retry_after_ms:
+            row["retry_in_ms"] = round(decision.retry_after_ms)
         told = anyio.Event()
-        self.waiting[ident] = (json.dumps(row), told)
+        self.waiting[event_id] = (json.dumps(row), told)
         self.bell.set()
         await told.wait()
 
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -361,6 +361,23 @@
             for endpoint in destination.endpoints
         )
 
+    def find_destination(self, number):
+        """The destination of this number, or None while no list has named it."""
+        return self.destinations.get(number)
+
+    def next_in_order(self, ordering_key):
+        """The event whose turn it is among those of an ordering key; None when none is held."""
+        queue = self.ordering_queues.get(ordering_key)
+        return queue[0][0] if queue and queue[0] else None
+
+    def excess_pending(self):
+        """How many events are held beyond the capacity."""
+        return self.pending_count - int(self.capacity)
+
+    def has_separate_routes(self, destination):
+        """Whether the endpoints of a destination have limits of their own."""
+        return bool(destination.endpoints and destination.endpoints[0].has_separate_route)
+
     def all_slots_in_use(self):
         return self.calls_in_flight >= self.max_calls_in_flight
 
--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from swiftthread.network.connection import Connection, ConnectionClosed
-from swiftthread.storage.write_ahead_log import PendingEvent
+from swiftthread.storage.pending_event import PendingEvent
 
 MOST_BODY = 64 * 1024  # bytes, the page's
 MOST_HEAD = 16 * 1024  # bytes of a request's line and headers
@@ -60,15 +60,27 @@
 class HttpServer:
     """Owner of the listener's connections. `take(held)` says whether the node takes an event on."""
 
-    def __init__(self, take, streams, buffers, limits, wall, first_ms, request_ms, idle_ms, intake, ring):
-        self.take, self.streams, self.buffers = take, streams, buffers
-        self.limits, self.wall, self.first, self.request, self.idle = (
-            limits,
-            wall,
-            first_ms,
-            request_ms,
-            idle_ms,
-        )
+    def __init__(
+        self,
+        admit,
+        stream_types,
+        buffers,
+        limits,
+        wall_clock,
+        first_request_ms,
+        request_ms,
+        idle_ms,
+        admission,
+        request_tick,
+    ):
+        self.admit = admit
+        self.stream_types = stream_types
+        self.buffers = buffers
+        self.limits = limits
+        self.wall_clock = wall_clock
+        self.first_request_ms = first_request_ms
+        self.request_ms = request_ms
+        self.idle_ms = idle_ms
         # Connections -> since when, by what they do, the longest in front; emptied as they close. `leaving`:
         # our side is
         # shut down, or about to be; what still comes is read and dropped. `silent`: nothing came yet.
@@ -80,7 +92,9 @@
         self.closing = False  # then each answer closes its connection
         # `ring` asks for a turn, in which `let_in` is called. Connections whose request waits to be read,
         # oldest first.
-        self.intake, self.request_tick, self.waiting = intake, ring, deque()
+        self.admission = admission
+        self.request_tick = request_tick
+        self.waiting = deque()
 
     async def serve(self, listener, tasks):
         """Accept until cancelled, or the listener is closed."""
@@ -257,7 +271,7 @@
 
     async def _let_in(self, connection):
         """Wait until this connection's request may be read."""
-        if not self.waiting and self.intake.try_admit():
+        if not self.waiting and self.admission.try_admit():
             return
         waiting = WaitingConnection(connection)
         self.waiting.append(waiting)
@@ -283,7 +297,7 @@
             and self.waiting[0].line.peer_has_closed()
         ):
             self._in(self.waiting.popleft(), gone=True)
-        while self.waiting and self.intake.try_admit():
+        while self.waiting and self.admission.try_admit():
             late = now - self.waiting[0].since > LATE_S
             self._in(self.waiting.pop() if late else self.waiting.popleft())
 
@@ -298,12 +312,12 @@
         Bad when it is none, Broken when none comes.
         """
         request, body, came_at = None, bytearray(), None
-        with anyio.move_on_after((self.first if first else self.idle) / 1000.0) as patience:
+        with anyio.move_on_after((self.first_request_ms if first else self.idle_ms) / 1000.0) as patience:
             while True:
                 if connection not in self.asking and connection.parser.trailing_data[0]:
                     self._to(self.asking, connection)  # it has begun
                     came_at = connection.received_at
-                    until = anyio.current_time() + self.request / 1000.0
+                    until = anyio.current_time() + self.request_ms / 1000.0
                     patience.deadline = min(until, patience.deadline) if first else until
                 try:
                     part = connection.parser.next_event()
@@ -326,7 +340,7 @@
                     if len(body) > MOST_BODY:
                         raise BadRequest(413)
                 elif isinstance(part, h11.EndOfMessage):
-                    return request, bytes(body), came_at or self.wall()
+                    return request, bytes(body), came_at or self.wall_clock()
                 else:
                     raise ConnectionClosed(True)
         if connection in self.asking:
@@ -367,7 +381,7 @@
             REMAINING.fullmatch(headers.get("x-remaining", "")),
             DEST.search(headers.get("x-route-to", "")),
         )
-        if stream not in self.streams:
+        if stream not in self.stream_types:
             raise BadRequest(404)
         if (
             headers.get("x-lane", stream) != stream
@@ -389,7 +403,7 @@
             zlib.crc32(subject.encode("latin-1")) + 1 if subject else 0,
             body,
         )
-        status, then, back_ms = self.take(pending)
+        status, then, back_ms = self.admit(pending)
         if status in (400, 409):
             raise BadRequest(status)
         return status, then, back_ms
--- a/swiftthread/service/node.py
+++ b/swiftthread/service/node.py
@@ -8,11 +8,13 @@
 from swiftthread.client.endpoint_client import SendResult
 from swiftthread.routing.messages import NEVER_RAN, Abandon, Defer, Reject, Send, SendOutcome
 from swiftthread.routing.router import Router
+from swiftthread.server.messages import AdmissionResult
 from swiftthread.service import limits as bounds
 from swiftthread.service.admission import AdmissionController
+from swiftthread.storage.decision import Decision, FinalOutcome
 
 DEFAULT_MAX_PENDING_EVENTS = 10000
-OUTCOMES = {Reject: "handed_back", Abandon: "given_up"}
+FINAL_OUTCOMES = {Reject: FinalOutcome.REJECTED, Abandon: FinalOutcome.ABANDONED}
 
 
 def _max_pending_events(settings):
@@ -26,35 +28,36 @@
 
     def __init__(
         self,
-        seed,
         settings,
+        seed,
         stream_type_numbers,
         tenant_numbers,
         scheduler_for,
         log,
         clock,
-        wall,
+        wall_clock,
         limits,
         tasks,
     ):
         self.router = Router(settings, seed)
-        self.scheduler, self.log, self.stream_type_numbers, self.limits = (
-            scheduler_for(self.router),
-            log,
-            stream_type_numbers,
-            limits,
-        )
+        self.scheduler = scheduler_for(self.router)
+        self.log = log
+        self.stream_type_numbers = stream_type_numbers
         self.tenant_numbers = tenant_numbers
-        self.clock, self.wall, self.tasks = clock, wall, tasks
-        self.max_pending_events, self.max_ages = (
-            _max_pending_events(settings),
-            [stream_type.max_age_ms for stream_type in settings.stream_types],
-        )
-        self.held_bytes, self.stopping, self.sends_until = 0, False, math.inf  # the last: the module's clock
+        self.limits = limits
+        self.clock = clock
+        self.wall_clock = wall_clock
+        self.tasks = tasks
+        self.max_pending_events = _max_pending_events(settings)
+        self.max_ages = [stream_type.max_age_ms for stream_type in settings.stream_types]
+        self.pending_bytes = 0
+        self.is_stopping = False
+        self.sends_until = math.inf  # on the router's clock
         self.admission = AdmissionController(self.scheduler.tick_ms)
-        self.endpoint_client = self.notifier = self.server = (
-            None  # joined by the start, once the lists are known
-        )
+        # Joined at the start, once the lists are known.
+        self.endpoint_client = None
+        self.notifier = None
+        self.server = None
 
     def admit(self, pending):
         """The door asks: (status, what to do once it is answered, ms after which to come back).
@@ -64,30 +67,30 @@
         if (same := self.log.matches_known_event(pending)) is not None:
             # Sent once more by its client; or another's under one id, which no answer of ours could tell
             # apart.
-            return 202 if same else 409, None, 0.0
-        now, most = self.wall(), self.max_ages[self.stream_type_numbers[pending.stream_type]]
+            return AdmissionResult(202 if same else 409)
+        now, most = self.wall_clock(), self.max_ages[self.stream_type_numbers[pending.stream_type]]
         if not now < pending.expires_at <= now + 2 * most:
-            return 400, None, 0.0
+            return AdmissionResult(400)
         pending.expires_at = min(pending.expires_at, now + most)
         full = (
             len(self.log.pending) >= self.max_pending_events
-            or self.held_bytes + len(pending.body) > self.limits.max_pending_bytes
+            or self.pending_bytes + len(pending.body) > self.limits.max_pending_bytes
         )
         # A destination that no list has named yet may be told of later: the list comes seconds late.
-        destination, at = self.router.destinations.get(pending.destination), self.clock()
+        destination, at = self.router.find_destination(pending.destination), self.clock()
         full = (
             full
             or destination is None
             or at + self.router.queue_drain_time_ms(destination, at) > self.sends_until
         )
-        if self.stopping or full or not self.log.append_taken(pending):
-            return 503, None, self.router.retry_after_ms(destination, at)
+        if self.is_stopping or full or not self.log.append_taken(pending):
+            return AdmissionResult(503, retry_after_ms=self.router.retry_after_ms(destination, at))
         self.add_to_router(pending)
-        return 202, lambda: self.tasks.start_soon(self.run_event, pending), 0.0
+        return AdmissionResult(202, lambda: self.tasks.start_soon(self.run_event, pending))
 
     def add_to_router(self, pending):
         """Hand an event to the module, with what the log knows of its sends."""
-        now, wall = self.clock(), self.wall()
+        now, wall = self.clock(), self.wall_clock()
         if self.tenant_numbers and pending.tenant not in self.tenant_numbers:
             logger.warning(
                 "{}: tenant {!r} is none of the settings'; it has no share", pending.event_id, pending.tenant
@@ -107,7 +110,7 @@
                 now - max(0.0, wall - pending.may_have_run[0]),
                 pending.may_have_run[1],
             )
-        self.held_bytes += len(pending.body)
+        self.pending_bytes += len(pending.body)
 
     def resume_pending(self):
         """What the log says is still owed."""
@@ -119,7 +122,7 @@
                     pending.stream_type,
                 )
                 what = Abandon if pending.may_have_run else Reject  # what surely never ran may come again
-                self.tasks.start_soon(self.notify_decision, pending, OUTCOMES[what], 0.0)
+                self.tasks.start_soon(self.notify_decision, pending, Decision(FINAL_OUTCOMES[what], 0.0))
                 continue
             self.add_to_router(pending)
             if pending.decision is not None:
@@ -135,26 +138,23 @@
         ):  # guards the other events: a fault ends this one alone, and nothing is promised of it
             logger.exception("the life of an event failed; it is given up")
             self.router.withdraw(pending.event, self.clock())
-            pending.decision = (OUTCOMES[Abandon], 0.0)
+            pending.decision = Decision(FinalOutcome.ABANDONED, 0.0)
         self.scheduler.remove(pending.event)
         if pending.decision is not None:
-            await self.notify_decision(pending, *pending.decision)
+            await self.notify_decision(pending, pending.decision)
         else:
             self.log.append_ended(pending)
-        self.held_bytes -= len(pending.body)
+        self.pending_bytes -= len(pending.body)
 
-    async def notify_decision(self, pending, outcome, retry_after_ms):
+    async def notify_decision(self, pending, decision):
         """Tell the platform of a decision once it is in the log, or the event's time is up.
 
         A process that comes back and knows nothing of it would send an event that its client has handed in
         elsewhere.
         """
-        while (
-            not self.log.append_decision(pending, outcome, retry_after_ms)
-            and self.wall() < pending.expires_at
-        ):
+        while not self.log.append_decision(pending, decision) and self.wall_clock() < pending.expires_at:
             await anyio.sleep(bounds.LOG_PAUSE_MS / 1000.0)
-        await self.notifier.notify(pending.event_id, outcome, retry_after_ms)
+        await self.notifier.notify(pending.event_id, decision)
         self.log.append_ended(pending)
 
     async def deliver(self, pending):
@@ -182,7 +182,9 @@
                 if end.is_finished:
                     break
             if not isinstance(answer, Defer):
-                pending.decision = OUTCOMES[type(answer)], getattr(answer, "retry_after_ms", 0.0)
+                pending.decision = Decision(
+                    FINAL_OUTCOMES[type(answer)], getattr(answer, "retry_after_ms", 0.0)
+                )
 
     @staticmethod
     async def kept():
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -196,9 +196,9 @@
 
     def _subjects_go_on(self, now):
         for subject in self.released_ordering_keys:
-            line = self.router.ordering_queues.get(subject, ((), 0.0))[0]
-            if line and line[0] in self.group_of and self.group_of[line[0]] is None:
-                self._seat(line[0], now)
+            event = self.router.next_in_order(subject)
+            if event in self.group_of and self.group_of[event] is None:
+                self._seat(event, now)
         self.released_ordering_keys.clear()
 
     def _time_passes(self, now):
@@ -235,7 +235,7 @@
             rows = [
                 row
                 for group in self.groups_by_destination[destination]
-                for row in self._least(group, self.router.pending_count - int(self.router.capacity))
+                for row in self._least(group, self.router.excess_pending())
             ]
             for _, _, _, event in sorted(rows, key=lambda row: row[:3]):
                 if not self.router.is_over_capacity():
@@ -307,12 +307,8 @@
         if wait.or_outcome and self.router.slots_are_scarce():
             self.waiting_for_slot[group] = True
         self._rings(group)
-        endpoints = group.destination.endpoints
-        if (
-            endpoints
-            and endpoints[0].has_separate_route
-            or self.router.has_joinable_call(group.destination, now)
-        ):
+        destination = group.destination
+        if self.router.has_separate_routes(destination) or self.router.has_joinable_call(destination, now):
             for row in group.rows[-2 : -2 - APART_TRIES : -1]:
                 if self._stands(row):
                     self._one(row[3], now)
--- a/swiftthread/service/startup.py
+++ b/swiftthread/service/startup.py
@@ -76,50 +76,53 @@
                 ConnectionPool(clock, limits.max_idle_ms, limits.max_idle_connections),
             )
             discovery = DiscoveryClient(
-                told.discovery,
-                buffers,
-                told.kind_numbers,
-                told.zone_numbers,
-                bounds.WATCH_QUIET_MS,
-                bounds.PLATFORM_MS,
+                address=told.discovery,
+                buffers=buffers,
+                kind_numbers=told.kind_numbers,
+                zone_numbers=told.zone_numbers,
+                quiet_ms=bounds.WATCH_QUIET_MS,
+                connect_timeout_ms=bounds.PLATFORM_MS,
             )
             node = Node(
-                told.seed,
-                settings,
-                told.stream_type_numbers,
-                told.tenant_numbers,
-                lambda router: Scheduler(router, clock, settings.tick_ms),
-                log,
-                clock,
-                wall,
-                limits,
-                tasks,
+                settings=settings,
+                seed=told.seed,
+                stream_type_numbers=told.stream_type_numbers,
+                tenant_numbers=told.tenant_numbers,
+                scheduler_for=lambda router: Scheduler(router, clock, settings.tick_ms),
+                log=log,
+                clock=clock,
+                wall_clock=wall,
+                limits=limits,
+                tasks=tasks,
             )
             node.endpoint_client = EndpointClient(
-                tasks,
-                connections,
-                buffers,
-                clock,
-                wall,
-                discovery.addresses,
-                limits,
-                told.report_fields,
-                node.router.send_deadline,
+                tasks=tasks,
+                connections=connections,
+                buffers=buffers,
+                clock=clock,
+                wall_clock=wall,
+                addresses=discovery.addresses,
+                connect_timeout_ms=limits.connect_timeout_ms,
+                report_fields=told.report_fields,
+                send_deadline=node.router.send_deadline,
             )
             node.notifier = ResultNotifier(
-                told.discovery, buffers, bounds.PLATFORM_MS, bounds.NOTICE_PAUSE_MS
+                address=told.discovery,
+                buffers=buffers,
+                response_timeout_ms=bounds.PLATFORM_MS,
+                retry_pause_ms=bounds.NOTICE_PAUSE_MS,
             )
             server = node.server = HttpServer(
-                node.admit,
-                told.stream_type_numbers,
-                buffers,
-                limits,
-                wall,
-                bounds.FIRST_MS,
-                bounds.REQUEST_MS,
-                bounds.CLIENT_IDLE_MS,
-                node.admission,
-                node.scheduler.request_tick,
+                admit=node.admit,
+                stream_types=told.stream_type_numbers,
+                buffers=buffers,
+                limits=limits,
+                wall_clock=wall,
+                first_request_ms=bounds.FIRST_MS,
+                request_ms=bounds.REQUEST_MS,
+                idle_ms=bounds.CLIENT_IDLE_MS,
+                admission=node.admission,
+                request_tick=node.scheduler.request_tick,
             )
             if told.known_list:
                 try:
@@ -182,7 +185,7 @@
     while clock() - begun < bounds.STOP_MS:
         await anyio.sleep(0.02)
         spent = clock() - begun
-        node.stopping, node.scheduler.is_sending = spent > bounds.ANSWERING_MS, spent < bounds.SENDING_MS
+        node.is_stopping, node.scheduler.is_sending = spent > bounds.ANSWERING_MS, spent < bounds.SENDING_MS
         idle = not log.pending if node.scheduler.is_sending else not node.router.calls_in_flight
         if idle and not server.owes_answers() and spent > bounds.ANSWERING_MS:
             break
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -8,23 +8,31 @@
 first record.
 """
 
-import hashlib
 import json
 import os
-import re
 import struct
-import zlib
 from itertools import accumulate
 
 from loguru import logger
 
-HEAD = struct.Struct("<IIc")  # checksum of all that follows it, length of the payload, kind
-TAKEN, STATE, SENT, NEVER_RAN, DECIDED, ENDED = b"T", b"S", b"O", b"N", b"D", b"E"
-GIVEN_UP, HANDED_BACK = b"G", b"H"  # in the place of TAKEN, whose checksum it keeps: taken, and decided
-IN_PLACE = {"given_up": GIVEN_UP, "handed_back": HANDED_BACK}
-DECIDED_IN = {kind: outcome for outcome, kind in IN_PLACE.items()}
-KIND_AT = HEAD.size - 1
-KINDS = re.compile(b"[TSONDEGH]")
+from swiftthread.storage.decision import Decision, FinalOutcome
+from swiftthread.storage.pending_event import PendingEvent
+from swiftthread.storage.records import (
+    DECIDED,
+    DECIDED_IN,
+    ENDED,
+    HEAD,
+    IN_PLACE,
+    KIND_AT,
+    NEVER_RAN,
+    SENT,
+    STATE,
+    TAKEN,
+    record,
+    records,
+    torn,
+)
+
 UNKNOWN = (0.0, None)  # a send of which nothing is known but that it may have run: long ago, in no group
 FILE_SHARE = 0.45  # of the disk: the old file and the new one lie there together while it is rewritten
 LIVE_SHARE = 0.35  # of the disk: what events held may need, so that a rewritten file has room to grow
@@ -35,106 +43,15 @@
 NAME, NEW_NAME = "ledger", "ledger.new"
 
 
-class PendingEvent:
-    """An event held, as its client handed it in (the tenant by name), and what is known of its sends.
-
-    Moments are Unix ms.
-    """
-
-    def __init__(
-        self, event_id, idempotency_key, stream_type, destination, expires_at, tenant, ordering_key, body
-    ):
-        self.event_id = event_id
-        self.idempotency_key = idempotency_key
-        self.stream_type = stream_type
-        self.destination = destination
-        self.expires_at = expires_at
-        self.tenant = tenant
-        self.ordering_key = ordering_key
-        self.body = body
-        self.attempts = 0
-        self.send_in_flight = None
-        self.may_have_run = None
-        self.decision = None
-        self.event = None
-        self.reserved_bytes = 0
-        self.file_offset = 0  # where its first record stands in the file
-        self.decision_is_logged = False
-
-    def taken_record(self):
-        """The log record that says that the event was taken."""
-        head = json.dumps(
-            [
-                self.event_id,
-                self.idempotency_key,
-                self.stream_type,
-                self.destination,
-                self.expires_at,
-                self.tenant,
-                self.ordering_key,
-            ]
-        ).encode()
-        return record(TAKEN, struct.pack("<I", len(head)) + head + self.body)
-
-    def note_send(self, at, zone):
-        """Note a send that leaves at `at` for an endpoint of `zone`."""
-        self.may_have_run = self.may_have_run or self.send_in_flight
-        self.attempts += 1
-        self.send_in_flight = (at, zone)
-
-    def fingerprint(self):
-        """What a hand-in under the same id must be alike in to be the same: all but the time that is left."""
-        said = json.dumps(
-            [self.idempotency_key, self.stream_type, self.destination, self.tenant, self.ordering_key]
-        ).encode()
-        return hashlib.blake2b(said + self.body, digest_size=8).hexdigest()
-
-
-def record(kind, payload):
-    """Frame a payload as one log record, with its length, kind and checksum."""
-    head = struct.pack("<Ic", len(payload), kind)
-    return struct.pack("<I", zlib.crc32(payload, zlib.crc32(head))) + head + payload
-
-
-def records(data):
-    """(begin, end, kind, payload) of each whole record; kind None for a stretch between them that is none."""
-    at = read = 0
-    while found := KINDS.search(data, at + KIND_AT):
-        at = found.start() - KIND_AT
-        check, length, kind = HEAD.unpack_from(data, at)
-        end, first = at + HEAD.size + length, TAKEN if kind in DECIDED_IN else kind
-        if (
-            end > len(data)
-            or zlib.crc32(data[at + HEAD.size : end], zlib.crc32(data[at + 4 : at + KIND_AT] + first))
-            != check
-        ):
-            at += 1
-            continue
-        if at > read:
-            yield read, at, None, b""
-        yield at, end, kind, data[at + HEAD.size : end]
-        at = read = end
-    if read < len(data):
-        yield read, len(data), None, b""
-
-
-def torn(rest):
-    """Whether these bytes can be a record of which a process wrote the beginning as it died."""
-    if len(rest) < HEAD.size:
-        return True
-    _, length, kind = HEAD.unpack_from(rest)
-    return KINDS.fullmatch(kind) is not None and HEAD.size + length > len(rest)
-
-
 class WriteAheadLog:
     """Owner of the file and of the table. `held`: id -> event; emptied as events end."""
 
-    def __init__(self, folder, disk_bytes, wall):
+    def __init__(self, folder, disk_bytes, wall_clock):
         self.path, self.new_path = os.path.join(folder, NAME), os.path.join(folder, NEW_NAME)
-        self.max_file_bytes, self.max_live_bytes, self.wall = (
+        self.max_file_bytes, self.max_live_bytes, self.wall_clock = (
             int(FILE_SHARE * disk_bytes),
             int(LIVE_SHARE * disk_bytes),
-            wall,
+            wall_clock,
         )
         self.pending, self.live_bytes = {}, 0
         self.torn_bytes, self.unreadable_ranges = (
@@ -192,7 +109,7 @@
             pending = PendingEvent(*json.loads(payload[4 : 4 + size]), payload[4 + size :])
             pending.file_offset = at
             if kind in DECIDED_IN:
-                pending.decision, pending.decision_is_logged = (DECIDED_IN[kind], 0.0), True
+                pending.decision, pending.decision_is_logged = Decision(DECIDED_IN[kind], 0.0), True
             self._hold(pending, HEAD.size + len(payload))
             return
         ident, *rest = json.loads(payload)
@@ -200,7 +117,7 @@
         if kind == ENDED:
             self.recently_ended.pop(ident, None)  # the latest stands last
             self.recently_ended[ident] = (
-                self.wall(),
+                self.wall_clock(),
                 pending.fingerprint() if pending else rest[0] if rest else None,
             )
         if pending is None:
@@ -212,7 +129,7 @@
         elif kind == STATE:
             pending.attempts, pending.may_have_run = rest[0], tuple(rest[1]) if rest[1] else None
         elif kind == DECIDED:
-            pending.decision, pending.decision_is_logged = tuple(rest), True
+            pending.decision, pending.decision_is_logged = Decision(FinalOutcome(rest[0]), *rest[1:]), True
         elif kind == ENDED:
             self._drop(pending)
 
@@ -299,7 +216,9 @@
     # what the node tells it
 
     def _forget(self):
-        while self.recently_ended and next(iter(self.recently_ended.values()))[0] < self.wall() - OVER_MS:
+        while (
+            self.recently_ended and next(iter(self.recently_ended.values()))[0] < self.wall_clock() - OVER_MS
+        ):
             del self.recently_ended[next(iter(self.recently_ended))]
 
     def matches_known_event(self, pending):
@@ -330,7 +249,7 @@
 
     def append_sent(self, pending, zone):
         """Before a send's first byte; False when it must not go, for the log cannot take it."""
-        at = self.wall()
+        at = self.wall_clock()
         if not self._said(SENT, pending.event_id, at, zone):
             return False
         pending.note_send(at, zone)
@@ -341,13 +260,13 @@
         pending.send_in_flight = None
         self._said(NEVER_RAN, pending.event_id)
 
-    def append_decision(self, pending, outcome, retry_in_ms):
+    def append_decision(self, pending, decision):
         """False when the log cannot take it, not even in place: a restart would not know of it."""
-        pending.decision = (outcome, retry_in_ms)
+        pending.decision = decision
         pending.decision_is_logged = (
             pending.decision_is_logged
-            or self._said(DECIDED, pending.event_id, outcome, retry_in_ms)
-            or self._in_place(pending, IN_PLACE[outcome])
+            or self._said(DECIDED, pending.event_id, *decision)
+            or self._in_place(pending, IN_PLACE[decision.outcome])
         )
         return pending.decision_is_logged
 
@@ -366,7 +285,7 @@
     def append_ended(self, pending):
         """Forget an event that has its final answer."""
         self._drop(pending)
-        self.recently_ended[pending.event_id] = self.wall(), pending.fingerprint()
+        self.recently_ended[pending.event_id] = self.wall_clock(), pending.fingerprint()
         self._said(ENDED, pending.event_id)
 
     def close(self):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -26,7 +26,7 @@
 from swiftthread.routing.messages import SendOutcome
 from swiftthread.routing.settings import Settings, StreamType
 from swiftthread.simulator.sessions import Session
-from swiftthread.storage.write_ahead_log import ENDED, TAKEN, records
+from swiftthread.storage.records import ENDED, TAKEN, records
 
 TRACES = Path(__file__).parent / "traces"
 CODES = {
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -14,7 +14,8 @@
 from swiftthread.network.connection import Connection
 from swiftthread.network.connection_pool import ConnectionPool
 from swiftthread.routing.messages import LoadReport, SendOutcome
-from swiftthread.storage.write_ahead_log import PendingEvent, WriteAheadLog
+from swiftthread.storage.pending_event import PendingEvent
+from swiftthread.storage.write_ahead_log import WriteAheadLog
 
 ONE = [(1, 0, 0, 0, 4.0, True)]
 TWO = [(1, 0, 0, 0, 4.0, True), (2, 0, 1, 0, 4.0, True)]
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -26,7 +26,7 @@
 from swiftthread.server.http_server import HttpServer
 from swiftthread.service.admission import AdmissionController
 from swiftthread.service.limits import Limits
-from swiftthread.storage.write_ahead_log import TAKEN, records
+from swiftthread.storage.records import TAKEN, records
 
 BYTES = (
     b"POST /once HTTP/1.1\r\nHost: n\r\nX-Txn: %s\r\nX-Lane: once\r\n"
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -16,16 +16,9 @@
 from helpers import FakeEndpoint, NodeProcess, lane, until
 
 from swiftthread.storage import write_ahead_log as module
-from swiftthread.storage.write_ahead_log import (
-    DECIDED,
-    ENDED,
-    NAME,
-    SENT,
-    UNKNOWN,
-    PendingEvent,
-    WriteAheadLog,
-    record,
-)
+from swiftthread.storage.pending_event import PendingEvent
+from swiftthread.storage.records import DECIDED, ENDED, SENT, record
+from swiftthread.storage.write_ahead_log import NAME, UNKNOWN, WriteAheadLog
 
 DISK = 3_000_000
 
@@ -124,14 +117,14 @@
 # In a process of its own: the limit holds for each of its files, so for a test runner's output too.
 FULL_DISK = """
 import os, resource, sys
-from test_ledger import held, open_at
+from test_ledger import Decision, FinalOutcome, held, open_at
 folder, outcome = sys.argv[1:]
 ledger, events = open_at(folder), [held("evt-0"), held("evt-1"), held("evt-2")]
 assert all(map(ledger.append_taken, events))
 hard = resource.getrlimit(resource.RLIMIT_FSIZE)[1]
 resource.setrlimit(resource.RLIMIT_FSIZE, (os.path.getsize(ledger.path), hard))
 assert not ledger.append_sent(events[1], 1) and not ledger.append_taken(held("evt-3"))
-assert ledger.append_decision(events[1], outcome, 500.0)
+assert ledger.append_decision(events[1], Decision(FinalOutcome(outcome), 500.0))
 """
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,7 +17,7 @@
 
 from swiftthread.routing.events import Destination
 from swiftthread.routing.router import Endpoint
-from swiftthread.storage.write_ahead_log import record
+from swiftthread.storage.records import record
 
 REFUSED = (429, [("Retry-After", "0.6")], b"")
 
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -12,7 +12,8 @@
 
 from swiftthread.client.discovery_client import DiscoveryClient
 from swiftthread.storage import write_ahead_log as module
-from swiftthread.storage.write_ahead_log import PendingEvent, WriteAheadLog
+from swiftthread.storage.pending_event import PendingEvent
+from swiftthread.storage.write_ahead_log import WriteAheadLog
 
 REALMS = [
     {"Name": "north", "QuotaPerS": 0.001, "Share": 0.5},
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -224,7 +224,7 @@
             lambda: 0.0,
             lambda: 0.0,
             addresses,
-            limits.Limits({}, 8, 5000.0, 1500.0),
+            1500.0,
             (),
             None,
         )
