--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""What the tests share: stand-ins, processes and simulated instances."""
--- /dev/null
+++ b/tests/support/fake_servers.py
@@ -0,0 +1,225 @@
+"""HTTP servers on loopback that stand in for endpoints and for discovery."""
+
+import contextlib
+import json
+import select
+import socket
+import struct
+import threading
+import time
+
+import h11
+
+from swiftthread.network.connection import STAMP, STAMP_ROOM, STAMPED
+
+
+class FakeHttpServer:
+    """An HTTP/1.1 server of threads.
+
+    `answer(method, target, headers, body)` gives (status, headers, body), or None for silence, "reset" for a
+    reset after the last byte, or bytes to write as they are.
+    """
+
+    def __init__(self, answer, idle_s=None):
+        self.answer, self.idle_s, self.accepted, self.conns = answer, idle_s, 0, []
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.listener.setsockopt(socket.SOL_SOCKET, STAMP, 1)  # whom it accepts has it too
+        self.came = (
+            threading.local()
+        )  # `at`: Unix s at which the kernel had the last byte of the request answered
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        self.gate = threading.Event()  # while it is not set nobody is accepted
+        self.gate.set()
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def _accept(self):
+        while True:
+            self.gate.wait()
+            try:
+                conn, _ = self.listener.accept()
+            except OSError:
+                return
+            self.accepted += 1
+            self.conns.append(conn)
+            threading.Thread(target=self._serve, args=(conn,), daemon=True).start()
+
+    def _serve(self, conn):
+        parser, request, body = h11.Connection(h11.SERVER), None, b""
+        conn.settimeout(self.idle_s)
+        try:
+            while True:
+                part = parser.next_event()
+                if part is h11.NEED_DATA:
+                    parser.receive_data(self._recv(conn))
+                elif isinstance(part, h11.Request):
+                    request, body = part, b""
+                elif isinstance(part, h11.Data):
+                    body += part.data
+                elif isinstance(part, h11.EndOfMessage):
+                    if not self._reply(conn, parser, request, body):
+                        return
+                    parser.start_next_cycle()
+                else:
+                    return
+        except (OSError, h11.ProtocolError):
+            pass
+        finally:
+            conn.close()
+
+    def _recv(self, conn):
+        data, notes, _, _ = conn.recvmsg(65536, STAMP_ROOM)
+        for level, kind, stamp in notes:
+            if (level, kind) == (socket.SOL_SOCKET, STAMP):
+                seconds, nanos = STAMPED.unpack(stamp)
+                self.came.at = seconds + nanos / 1e9
+        return data
+
+    def _reply(self, conn, parser, request, body):
+        headers = {name.decode(): value.decode() for name, value in request.headers}
+        said = self.answer(request.method.decode(), request.target.decode(), headers, body)
+        if said is None:
+            conn.settimeout(30)
+            conn.recv(1)  # until the other side gives up
+        elif said == "reset":
+            conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        elif isinstance(said, bytes):
+            conn.sendall(said)
+        elif callable(said):
+            said(conn)
+        else:
+            status, head, text = said
+            head = [*head, ("Content-Length", str(len(text)))]
+            conn.sendall(
+                parser.send(h11.Response(status_code=status, headers=head))
+                + parser.send(h11.Data(data=text))
+                + parser.send(h11.EndOfMessage())
+            )
+            return True
+        return False
+
+    def cut(self):
+        """Reset the connections, and take no more."""
+        self.listener.shutdown(socket.SHUT_RDWR)  # a close alone leaves a blocked accept to take one more
+        self.listener.close()
+        for conn in self.conns:
+            with contextlib.suppress(OSError):
+                conn.shutdown(socket.SHUT_RDWR)
+
+
+class FakeEndpoint(FakeHttpServer):
+    """Answers its calls as the script says, one entry a call, the last for all that follow.
+
+    Keeps them in `calls`.
+    """
+
+    def __init__(self, *script, ident="s-1", cell=1, **more):
+        super().__init__(self._call, **more)
+        self.ident, self.cell, self.script, self.calls, self.probes = (
+            ident,
+            cell,
+            list(script) or [200],
+            [],
+            0,
+        )
+
+    def entry(self, state="SERVING", weight=0.0):
+        return {
+            "id": self.ident,
+            "addr": self.address,
+            "zone": "east",
+            "kind": "plain",
+            "cell": self.cell,
+            "state": state,
+            "weight": weight,
+            "started_ms": 0,
+        }
+
+    def _call(self, method, target, headers, body):
+        if method == "GET":
+            self.probes += 1
+            return 200, [], b""
+        self.calls.append((time.monotonic(), target, headers, body))
+        said = self.script.pop(0) if len(self.script) > 1 else self.script[0]
+        if callable(said):
+            said = said(body)
+        return (said, [], b"") if isinstance(said, int) else said
+
+    def idents(self):
+        return [headers["x-txn"] for _, _, headers, _ in self.calls]
+
+
+class GatedEndpoint(FakeEndpoint):
+    """An endpoint that can be shut.
+
+    Then its queue of connections is full, and the kernel drops what asks for one. Who asked meanwhile asks
+    again a second later, as TCP does: a connection that comes up late.
+    """
+
+    def __init__(self, *script, **more):
+        self.crowd = []
+        super().__init__(*script, **more)
+        self.listener.listen(0)
+
+    def _serve(self, conn):
+        self.gate.wait()
+        super()._serve(conn)
+
+    def shut(self):
+        self.gate.clear()
+        while True:
+            sock = socket.socket()
+            sock.setblocking(False)
+            sock.connect_ex(self.listener.getsockname())
+            self.crowd.append(sock)
+            if not select.select([], [sock], [], 0.05)[1]:
+                return
+
+    def hear(self):
+        while self.crowd:
+            self.crowd.pop().close()
+        self.gate.set()
+
+
+class FakeDiscovery(FakeHttpServer):
+    """Holds a list, tells its changes to all watches, and takes notices."""
+
+    def __init__(self, *entries):
+        super().__init__(self._ask)
+        self.page = {"version": 1, "full": True, "servers": list(entries)}
+        self.watches, self.notices, self.refusing, self.targets, self.silent = [], [], 0, [], False
+
+    def _ask(self, method, target, headers, body):
+        if method == "POST":
+            if self.refusing:
+                self.refusing -= 1
+                return 500, [], b""
+            self.notices += [json.loads(line) for line in body.splitlines()]
+            return 204, [], b""
+        self.targets.append(target)
+        return self._watch
+
+    def _watch(self, conn):
+        conn.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        self._line(conn, json.dumps(self.page))
+        self.watches.append(conn)
+        for _ in range(60):
+            time.sleep(0.5)
+            if not self.silent:
+                self._line(conn, "")
+
+    @staticmethod
+    def _line(conn, text):
+        data = text.encode() + b"\n"
+        conn.sendall(b"%x\r\n%s\r\n" % (len(data), data))
+
+    def tell(self, *entries):
+        self.page = {"version": self.page["version"] + 1, "full": False, "servers": list(entries)}
+        for conn in self.watches:
+            # A watch that the node has left.
+            with contextlib.suppress(OSError):
+                self._line(conn, json.dumps(self.page))
+
+    def lose_watches(self):
+        watches, self.watches = self.watches, []
+        for conn in watches:
+            conn.shutdown(socket.SHUT_RDWR)
--- /dev/null
+++ b/tests/support/node_process.py
@@ -0,0 +1,171 @@
+"""The program as a process, with its configuration, its folder and its discovery."""
+
+import json
+import os
+import signal
+import socket
+import struct
+import subprocess
+import sys
+import time
+from itertools import count
+
+from support.fake_servers import FakeDiscovery
+from swiftthread.storage.records import ENDED, TAKEN, records
+
+
+def lane(name, effect, **more):
+    return {"Name": name, "Effect": effect, "Aim": 1.5, "Deadline": 5.0, "Value": 1.0, "Group": "all"} | more
+
+
+class NodeProcess:
+    """`python -m swiftthread` with its folder, and its discovery."""
+
+    SETTINGS = {
+        "Balancers": 1,
+        "Position": 0,
+        "Kinds": ["plain"],
+        "Localities": ["east", "west"],
+        "Weights": "off",
+        "Realms": [],
+        "Period": 0.005,
+        "Discovery": "push",
+        "Stats": {"Fields": [], "How": "off"},
+        "Domain": {"CallsOut": 8, "KindBatch": [1], "RoutesApart": [False], "Carriage": [0.0, 0.0]},
+        "Obligations": {"FallMultiple": 2.0, "ColdFrom": 0.2, "WarmUp": 2.0, "KeyRest": 0.3},
+        "Permissions": {
+            "TryLimit": 6,
+            "MaxOpen": 50,
+            "Keepalive": 5.0,
+            "ConnectTimeout": 0.5,
+            "Probes": True,
+            "RetryAfter": True,
+            "MaxRetryAfter": 3.0,
+        },
+        "Profiles": [
+            lane("notice", "retryable"),
+            lane("posting", "dedup", Window=3.0),
+            lane("once", "fragile"),
+            lane("turn", "retryable", InTurn=True),
+        ],
+    }
+
+    def __init__(self, folder, *endpoints, known=True, limits=(), environ=None, **settings):
+        self.folder, self.discovery = folder, FakeDiscovery(*[endpoint.entry() for endpoint in endpoints])
+        with socket.create_server(("127.0.0.1", 0)) as free:
+            self.port = free.getsockname()[1]
+        self.state = folder / "state"
+        self.state.mkdir(exist_ok=True)
+        merged = {
+            name: value | settings.get(name, {}) if isinstance(value, dict) else settings.get(name, value)
+            for name, value in self.SETTINGS.items()
+        }
+        conf = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": self.discovery.address,
+            "seed": "8c1f30d27a5be964",
+            "state": str(self.state),
+            "settings": merged,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3} | dict(limits),
+        }
+        if known:
+            conf["known"] = self.discovery.page
+        self.conf, self.parts = folder / "config.json", conf
+        self.conf.write_text(json.dumps(conf))
+        self.count, self.process, self.environ = count(1), None, environ or {}
+        self.module, self.home = "swiftthread", None  # what is started, and from which folder
+
+    def __enter__(self):
+        return self.start()
+
+    def __exit__(self, *_):
+        if self.process.poll() is None:
+            self.process.kill()
+        self.process.wait()
+        self.process.stderr.close()
+        self.discovery.listener.close()
+
+    def reload(self, text=None, **parts):
+        """Put a new configuration in the old one's place, as text or with other parts, and say so."""
+        fresh = self.folder / "config.new"
+        fresh.write_text(text or json.dumps(self.parts | parts))
+        fresh.replace(self.conf)
+        self.process.send_signal(signal.SIGHUP)
+
+    def start(self):
+        if self.process is not None:
+            self.process.stderr.close()
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", self.module],
+            stderr=subprocess.PIPE,
+            cwd=self.home,
+            env=os.environ | {"LB_CONFIG": str(self.conf)} | self.environ,
+        )
+        until(lambda: self.healthy())
+        return self
+
+    def healthy(self):
+        assert self.process.poll() is None, self.process.stderr.read().decode()
+        try:
+            return self.raw(b"GET /_health HTTP/1.1\r\nHost: n\r\n\r\n").startswith(b"HTTP/1.1 200")
+        except OSError:
+            return False
+
+    def open(self):
+        return socket.create_connection(("127.0.0.1", self.port), timeout=5)
+
+    def raw(self, data):
+        """What one connection answers to these bytes, up to its first answer's end or its close."""
+        with self.open() as conn:
+            conn.sendall(data)
+            return conn.recv(4096)
+
+    def bytes_of(self, stream="notice", body=b"hello", destination=1, left="4000m", ident=None, **headers):
+        ident = ident or f"evt-{next(self.count)}"
+        head = {
+            "Host": "api.internal",
+            "X-Txn": ident,
+            "X-Lane": stream.partition("/")[0],
+            "X-Remaining": left,
+            "X-Route-To": f"dest={destination}",
+            "Content-Length": len(body),
+        } | headers
+        lines = "".join(f"{name}: {value}\r\n" for name, value in head.items() if value is not None)
+        return f"POST /{stream} HTTP/1.1\r\n{lines}\r\n".encode() + body
+
+    def hand_in(self, *args, **more):
+        return int(self.raw(self.bytes_of(*args, **more)).split()[1])
+
+    def notices(self):
+        return {row["message"]: row["outcome"] for row in self.discovery.notices}
+
+    def stop(self, how=signal.SIGTERM):
+        self.process.send_signal(how)
+        return self.process.wait(timeout=10)
+
+    def said(self):
+        """What it logged, once it is stopped."""
+        self.stop()
+        return self.process.stderr.read().decode()
+
+    def log_path(self):
+        return self.state / "ledger"
+
+    def held(self):
+        """Ids of the events that its log holds."""
+        held = {}
+        for _, _, kind, payload in records(self.log_path().read_bytes()):
+            if kind in (TAKEN, ENDED):
+                row = json.loads(
+                    payload[4 : 4 + struct.unpack_from("<I", payload)[0]] if kind == TAKEN else payload
+                )
+                held[row[0]] = kind == TAKEN
+        return {ident for ident, is_held in held.items() if is_held}
+
+
+def until(true, patience=8.0):
+    end = time.monotonic() + patience
+    while not true():
+        assert time.monotonic() < end, "what was waited for did not come"
+        time.sleep(0.01)
--- a/tests/fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -4,8 +4,7 @@
 import random
 from itertools import count
 
-from helpers import SimulatedNode
-
+from support.simulated_node import SimulatedNode
 from swiftthread.routing.messages import SendOutcome
 from swiftthread.routing.statistics import RecentCount
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -9,16 +9,10 @@
 import time
 
 import pytest
-from helpers import (
-    DEDUPLICATED,
-    IDEMPOTENT,
-    NON_IDEMPOTENT,
-    FakeEndpoint,
-    GatedEndpoint,
-    NodeProcess,
-    SimulatedNode,
-    until,
-)
+from support.fake_servers import FakeEndpoint, GatedEndpoint
+from support.node_process import NodeProcess, until
+from support.simulated_node import SimulatedNode
+from support.stream_types import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT
 
 from swiftthread.routing.messages import SendOutcome
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -7,13 +7,15 @@
 
 import anyio
 import pytest
-from helpers import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT, SimulatedNode, StreamType
+from support.simulated_node import SimulatedNode
+from support.stream_types import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT
 
 from swiftthread.client.discovery_client import DiscoveryClient
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection import Connection
 from swiftthread.network.connection_pool import ConnectionPool
 from swiftthread.routing.messages import LoadReport, SendOutcome
+from swiftthread.routing.settings import StreamType
 from swiftthread.storage.pending_event import PendingEvent
 from swiftthread.storage.write_ahead_log import WriteAheadLog
 
--- a/tests/test_cold_return.py
+++ b/tests/test_cold_return.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from fleet import Fleet, Returning
+from support.simulated_fleet import Fleet, Returning
 
 NODES = 30  # instances
 LIMIT, LOAD = 20.0, 18.0  # per s: calls that the destination takes, events of all instances
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -7,8 +7,9 @@
 import time
 
 import pytest
-from effects import Rules, Seen, broken
-from helpers import GatedEndpoint, NodeProcess, lane, until
+from support.effect_rules import Rules, Seen, broken
+from support.fake_servers import GatedEndpoint
+from support.node_process import NodeProcess, lane, until
 
 ONCE, ZONE, ALL, FREELY = Rules(True), Rules(True, "zone", 2.0), Rules(True, "all", 2.0), Rules(False)
 
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -19,7 +19,8 @@
 
 import anyio
 import pytest
-from helpers import FakeEndpoint, NodeProcess, until
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, until
 
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection import Connection, open_listener
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,7 +4,8 @@
 from pathlib import Path
 
 import pytest
-from helpers import FakeEndpoint, NodeProcess, until
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, until
 
 
 def started(folder, fault, *endpoints, **settings):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
 """What is harmless in one instance and harmful in many that share an endpoint and see little each."""
 
-from fleet import Fleet, Table
-from helpers import SimulatedNode
+from support.simulated_fleet import Fleet, Table
+from support.simulated_node import SimulatedNode
 
 from swiftthread.routing.messages import Defer, SendOutcome
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -13,7 +13,8 @@
 from pathlib import Path
 
 import pytest
-from helpers import FakeEndpoint, NodeProcess, lane, until
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, lane, until
 
 from swiftthread.storage import write_ahead_log as module
 from swiftthread.storage.pending_event import PendingEvent
--- a/tests/test_list_retry.py
+++ b/tests/test_list_retry.py
@@ -4,7 +4,7 @@
 from itertools import count
 
 import pytest
-from helpers import IDEMPOTENT
+from support.stream_types import IDEMPOTENT
 
 from swiftthread.routing.router import Router
 from swiftthread.routing.settings import Settings
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,7 +13,8 @@
 from itertools import pairwise
 
 import pytest
-from helpers import FakeDiscovery, FakeEndpoint, NodeProcess, until
+from support.fake_servers import FakeDiscovery, FakeEndpoint
+from support.node_process import NodeProcess, until
 
 from swiftthread.routing.events import Destination
 from swiftthread.routing.router import Endpoint
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,7 +1,7 @@
 """More events than a limit takes, at many instances that each see a few of them."""
 
 import pytest
-from fleet import Fleet, Limited
+from support.simulated_fleet import Fleet, Limited
 
 ROUTE = "a"
 TOLD_MS = 1046.0  # the wait that a refusal tells
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -8,7 +8,10 @@
 
 import anyio
 import pytest
-from helpers import IDEMPOTENT, FakeEndpoint, NodeProcess, SimulatedNode, lane, until
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, lane, until
+from support.simulated_node import SimulatedNode
+from support.stream_types import IDEMPOTENT
 
 from swiftthread.client.discovery_client import DiscoveryClient
 from swiftthread.storage import write_ahead_log as module
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -10,7 +10,10 @@
 
 import anyio
 import pytest
-from helpers import IDEMPOTENT, FakeDiscovery, FakeEndpoint, FakeHttpServer, NodeProcess, SimulatedNode, until
+from support.fake_servers import FakeDiscovery, FakeEndpoint, FakeHttpServer
+from support.node_process import NodeProcess, until
+from support.simulated_node import SimulatedNode
+from support.stream_types import IDEMPOTENT
 
 from swiftthread.client.discovery_client import MOST_DOUBTFUL, MOST_LIST, DiscoveryClient, JsonAssembler
 from swiftthread.client.endpoint_client import EndpointClient
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -11,7 +11,10 @@
 
 import anyio
 import pytest
-from helpers import IDEMPOTENT, FakeEndpoint, NodeProcess, SimulatedNode, lane, until
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, lane, until
+from support.simulated_node import SimulatedNode
+from support.stream_types import IDEMPOTENT
 
 from swiftthread.client.discovery_client import MOST_LIST, DiscoveryClient
 from swiftthread.service.limits import Limits
