--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -118,7 +118,8 @@
 # In a process of its own: the limit holds for each of its files, so for a test runner's output too.
 FULL_DISK = """
 import os, resource, sys
-from test_ledger import Decision, FinalOutcome, held, open_at
+from swiftthread.storage.decision import Decision, FinalOutcome
+from test_ledger import held, open_at
 folder, outcome = sys.argv[1:]
 ledger, events = open_at(folder), [held("evt-0"), held("evt-1"), held("evt-2")]
 assert all(map(ledger.append_taken, events))
