--- a/tests/lab/test_receiver_model.py
+++ b/tests/lab/test_receiver_model.py
@@ -241,7 +241,7 @@
             [sys.executable, "-c", SEEDED_SCRIPT],
             capture_output=True,
             check=True,
-            env={"PYTHONSEEDED_SCRIPTSEED": str(seed), "PYTHONPATH": "."},
+            env={"PYTHONHASHSEED": str(seed), "PYTHONPATH": "."},
         ).stdout
         for seed in (0, 1, 2)
     ]
