--- /dev/null
+++ b/swiftthread/lab/emulator/discovery.py
@@ -0,0 +1,181 @@
+"""Discovery as each node sees it: the endpoint list, a watch on it, and the platform's status endpoint."""
+
+import asyncio
+import json
+from collections.abc import Callable, Iterable
+from dataclasses import asdict, dataclass
+
+from swiftthread.lab.http_server import HttpRequest, HttpServerConnection, encode_response
+from swiftthread.lab.loopback import address_of, listen
+from swiftthread.lab.outcomes import EndpointState
+from swiftthread.lab.run_records import (
+    EndpointStateAnnounced,
+    NotificationReceived,
+    RecordWriter,
+    monotonic_ms,
+)
+
+WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+WATCH_HEARTBEAT = b"\n"  # the watch's protocol asks for an empty line from time to time
+
+NotificationHandler = Callable[[NotificationReceived], None]
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointEntry:
+    """An entry of the endpoint list; fields and their order are those of the protocol."""
+
+    id: str
+    addr: str
+    zone: str
+    kind: str
+    cell: int
+    state: EndpointState
+    weight: float
+    started_ms: int
+
+
+class DiscoveryConnection(HttpServerConnection):
+    """A connection of one node to its discovery server."""
+
+    def __init__(self, discovery: "DiscoveryServer") -> None:
+        super().__init__()
+        self._discovery = discovery
+
+    def on_request(self, request: HttpRequest) -> None:
+        """Take notifications, or answer with the endpoint list or a watch on it."""
+        if request.method == "POST" and request.target == "/status":
+            self._discovery.on_status_posted(request.body)
+            self.transport.write(encode_response(204))
+        elif self._discovery.is_silent:
+            return
+        elif "watch=1" in request.target:
+            self.transport.write(WATCH_RESPONSE_HEAD)
+            self._discovery.add_watch(self)
+        else:
+            body = json.dumps(self._discovery.full_list()).encode()
+            self.transport.write(encode_response(200, body=body))
+
+    def write_chunk(self, data: bytes) -> None:
+        """Write a chunk of a watch."""
+        self.transport.write(b"%x\r\n%s\r\n" % (len(data), data))
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End the watch, if it is one; see `asyncio.Protocol`."""
+        self._discovery.remove_watch(self)
+
+
+class DiscoveryServer:
+    """Discovery as one node sees it.
+
+    Args:
+        node: The node's name.
+        entries: The endpoints that it lists at first.
+        delay_ms: How late it learns of changes; whoever announces them waits that long.
+        record_writer: Where announced states are recorded.
+        on_notification: Called with each notification that the node posts.
+
+    Attributes:
+        address: Where it listens, as host:port, once it is open.
+        is_silent: Whether it leaves requests for the list unanswered.
+    """
+
+    address: str
+
+    def __init__(
+        self,
+        node: str,
+        entries: Iterable[EndpointEntry],
+        delay_ms: float,
+        record_writer: RecordWriter,
+        on_notification: NotificationHandler,
+    ) -> None:
+        self.delay_ms = delay_ms
+        self.is_silent = False
+        self._node = node
+        self._entries = {entry.id: entry for entry in entries}
+        self._version = 1
+        self._watches: dict[DiscoveryConnection, bool] = {}
+        self._record_writer = record_writer
+        self._on_notification = on_notification
+
+    async def open(self) -> None:
+        """Listen on a free port."""
+        self._server = await listen(lambda: DiscoveryConnection(self))
+        self.address = address_of(self._server.sockets[0])
+
+    def full_list(self) -> dict[str, object]:
+        """Return the whole endpoint list as it is sent."""
+        return self._encode_list(self._entries.values(), is_full=True)
+
+    def _encode_list(self, entries: Iterable[EndpointEntry], *, is_full: bool) -> dict[str, object]:
+        return {"version": self._version, "full": is_full, "servers": [asdict(entry) for entry in entries]}
+
+    def add_watch(self, connection: DiscoveryConnection) -> None:
+        """Send the whole list to a watch, and changes from now on."""
+        self._watches[connection] = True
+        connection.write_chunk(_encode_line(self.full_list()))
+
+    def remove_watch(self, connection: DiscoveryConnection) -> None:
+        """Forget a connection that is closed."""
+        self._watches.pop(connection, None)
+
+    def apply_changes(self, changed_entries: list[EndpointEntry]) -> None:
+        """Change the list and send the changes; they count as announced once they are written."""
+        self._version += 1
+        for entry in changed_entries:
+            self._entries[entry.id] = entry
+        if not self.is_silent:
+            line = _encode_line(self._encode_list(changed_entries, is_full=False))
+            for watch in self._watches:
+                watch.write_chunk(line)
+            self._record_states(changed_entries)
+        for entry in changed_entries:
+            if entry.state == EndpointState.DELETED:
+                del self._entries[entry.id]
+
+    def _record_states(self, entries: Iterable[EndpointEntry]) -> None:
+        for entry in entries:
+            self._record_writer.write(
+                EndpointStateAnnounced(monotonic_ms(), self._node, entry.id, entry.state)
+            )
+
+    def on_status_posted(self, body: bytes) -> None:
+        """Take notifications, one JSON object a line."""
+        for line in body.splitlines():
+            row = json.loads(line)
+            self._on_notification(
+                NotificationReceived(
+                    monotonic_ms(),
+                    self._node,
+                    row["message"],
+                    row["outcome"],
+                    row.get("retry_in_ms", 0.0),
+                )
+            )
+
+    def silence_for(self, duration_ms: float) -> None:
+        """Leave requests unanswered and changes unsent for a time."""
+        self.is_silent = True
+        asyncio.get_running_loop().call_later(duration_ms / 1000.0, self._resume)
+
+    def _resume(self) -> None:
+        self.is_silent = False
+        self._record_states(self._entries.values())
+        self.drop_watches()  # a new watch begins with the whole list, and so with what was missed
+
+    def drop_watches(self) -> None:
+        """Abort the connections of all watches."""
+        for watch in list(self._watches):
+            watch.transport.abort()
+
+    def send_heartbeats(self) -> None:
+        """Send an empty line to each watch."""
+        if self.is_silent:
+            return
+        for watch in self._watches:
+            watch.write_chunk(WATCH_HEARTBEAT)
+
+
+def _encode_line(endpoint_list: dict[str, object]) -> bytes:
+    return json.dumps(endpoint_list).encode() + b"\n"
--- /dev/null
+++ b/swiftthread/lab/emulator/endpoint_listener.py
@@ -0,0 +1,243 @@
+"""The listening socket of one emulated endpoint, its connections, and the faults of both."""
+
+import asyncio
+import base64
+import json
+import random
+import socket
+from contextlib import suppress
+from typing import Protocol
+
+from swiftthread.lab.background_tasks import BackgroundTasks
+from swiftthread.lab.faults import FaultKind
+from swiftthread.lab.http_server import HttpRequest, HttpServerConnection, encode_response
+from swiftthread.lab.loopback import address_of, bind_unused_port
+from swiftthread.lab.receiver_model import ReceiverModel
+from swiftthread.lab.receivers import Call, Endpoint
+
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+ACCEPTS_PER_EVENT = 64  # connections accepted before other events have their turn
+BACKLOG_FILLERS = 3  # connections that fill the queue of a listener with a backlog of 0
+BATCH_TARGET = "/receive-many"
+
+SLOW_IO_CHUNK_BYTES = 64  # bytes that a slow reader or writer takes at once
+SLOW_IO_INTERVAL_MS = 20.0  # ms between two of its chunks
+SLOW_READ_BUFFER_BYTES = 4096  # of a slow reader's socket, so that the caller's writes find a full window
+
+
+class CallHandler(Protocol):
+    """What a listener needs of whoever answers the requests of its connections."""
+
+    def on_health_check(self, connection: "EndpointConnection") -> None:
+        """A health check was received."""
+
+    def on_call_received(
+        self, connection: "EndpointConnection", event_ids: list[str], request: HttpRequest
+    ) -> None:
+        """A call that delivers events was received."""
+
+    def on_caller_disconnected(self, call: Call) -> None:
+        """The connection of a call that waits for its answer was closed."""
+
+
+class EndpointConnection(HttpServerConnection):
+    """A connection to an endpoint.
+
+    Attributes:
+        listener: What accepted it.
+        call: The call on it that waits for its answer, if there is one.
+    """
+
+    def __init__(self, listener: "EndpointListener") -> None:
+        super().__init__()
+        self.listener = listener
+        self.call: Call | None = None
+        self._is_counted = False
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take a place in the endpoint's connection table, or reset the connection."""
+        super().connection_made(transport)
+        self.listener.connections[self] = True
+        self._is_counted = self.listener.receivers.open_connection(self.listener.endpoint)
+        if not self._is_counted:
+            self.reset()
+        elif self.listener.has_fault(FaultKind.SLOW_READ):
+            self._throttle_reading()
+
+    def _throttle_reading(self) -> None:
+        """Read one chunk, then pause."""
+        sock = self.transport.get_extra_info("socket")
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READ_BUFFER_BYTES)
+        # How much the transport reads at once; asyncio has no public name for it.
+        self.transport.max_size = SLOW_IO_CHUNK_BYTES  # type: ignore[attr-defined]
+        self.transport.pause_reading()
+        asyncio.get_running_loop().call_later(SLOW_IO_INTERVAL_MS / 1000.0, self._resume_reading)
+
+    def _resume_reading(self) -> None:
+        if not self.transport.is_closing():
+            self.transport.resume_reading()
+
+    def data_received(self, data: bytes) -> None:
+        """Parse, unless a fault strikes first; see `asyncio.Protocol`."""
+        if self.listener.strikes(FaultKind.RESET_BEFORE_REQUEST):
+            self.reset()
+            return
+        super().data_received(data)
+        if self.listener.has_fault(FaultKind.SLOW_READ) and not self.transport.is_closing():
+            self._throttle_reading()
+
+    def on_request(self, request: HttpRequest) -> None:
+        """Pass a health check or call on; answer a malformed batch with 400."""
+        handler = self.listener.call_handler
+        if request.method == "GET":
+            handler.on_health_check(self)
+            return
+        try:
+            event_ids = _event_ids(request)
+        except (ValueError, KeyError, TypeError):
+            self.transport.write(encode_response(400))
+            return
+        handler.on_call_received(self, event_ids, request)
+
+    def write_response(self, data: bytes) -> None:
+        """Write an encoded response, in small pieces if the endpoint is a slow writer."""
+        if self.listener.has_fault(FaultKind.SLOW_WRITE):
+            self._write_slowly(data)
+        else:
+            self.transport.write(data)
+
+    def _write_slowly(self, data: bytes) -> None:
+        if self.transport.is_closing() or not data:
+            return
+        self.transport.write(data[:SLOW_IO_CHUNK_BYTES])
+        rest = data[SLOW_IO_CHUNK_BYTES:]
+        asyncio.get_running_loop().call_later(SLOW_IO_INTERVAL_MS / 1000.0, self._write_slowly, rest)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Give the place in the connection table back; see `asyncio.Protocol`."""
+        self.listener.connections.pop(self, None)
+        if self._is_counted:
+            self.listener.receivers.close_connection(self.listener.endpoint)
+        if self.call is not None:
+            call = self.call
+            self.call = None
+            self.listener.call_handler.on_caller_disconnected(call)
+
+
+def _event_ids(request: HttpRequest) -> list[str]:
+    """Return the ids of the events in a call.
+
+    Raises:
+        ValueError, KeyError, TypeError: The batch is malformed.
+    """
+    if request.target != BATCH_TARGET:
+        return [request.headers.get("x-txn", "")]
+    rows = json.loads(request.body)
+    for row in rows:
+        base64.b64decode(row["body"])
+    return [row["id"] for row in rows]
+
+
+class EndpointListener:
+    """Owner of the listening socket of one endpoint and of its connections.
+
+    Attributes:
+        endpoint: The endpoint in the receiver model.
+        receivers: That model.
+        call_handler: What answers the requests.
+        address: Where it listens, as host:port.
+        connections: The open connections, in the order in which they were accepted.
+        active_faults: The socket faults that it has, with the share of data or connections they strike.
+    """
+
+    def __init__(
+        self, endpoint: Endpoint, receivers: ReceiverModel, rng: random.Random, call_handler: CallHandler
+    ) -> None:
+        self.endpoint = endpoint
+        self.receivers = receivers
+        self.call_handler = call_handler
+        self.connections: dict[EndpointConnection, bool] = {}
+        self.active_faults: dict[FaultKind, float] = {}
+        self._rng = rng
+        self._backlog_fillers: list[socket.socket] = []
+        self._tasks = BackgroundTasks()
+        self._loop = asyncio.get_running_loop()
+        self._is_listening = False
+        self._socket = bind_unused_port()
+        self.address = address_of(self._socket)
+
+    def has_fault(self, kind: FaultKind) -> bool:
+        """Return whether it has a socket fault."""
+        return bool(self.active_faults.get(kind))
+
+    def strikes(self, kind: FaultKind) -> bool:
+        """Draw whether a socket fault strikes this time."""
+        share = self.active_faults.get(kind, 0.0)
+        return share > 0.0 and self._rng.random() < share
+
+    def open(self) -> None:
+        """Listen, if it does not yet."""
+        if not self._is_listening:
+            self._socket.listen(LISTEN_BACKLOG)
+            self._loop.add_reader(self._socket, self._accept)
+            self._is_listening = True
+
+    def _accept(self) -> None:
+        for _ in range(ACCEPTS_PER_EVENT):
+            try:
+                sock, _ = self._socket.accept()
+            except OSError:
+                return
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._tasks.spawn(self._connect(sock))
+
+    async def _connect(self, sock: socket.socket) -> None:
+        with suppress(OSError):  # the caller has left already
+            await self._loop.connect_accepted_socket(lambda: EndpointConnection(self), sock)
+
+    def refuse_connections(self) -> None:
+        """Stop listening and reset what is open."""
+        self.end_silence()
+        if self._is_listening:
+            self._loop.remove_reader(self._socket)
+            self._socket.shutdown(socket.SHUT_RDWR)  # on Linux it stops to listen and keeps its port
+            self._is_listening = False
+        self._reset_connections()
+
+    def go_silent(self) -> None:
+        """Let new connections hang and stop reading from open ones.
+
+        The queue of connections to accept is made full, so that the kernel answers no further one.
+        """
+        if self._is_listening:
+            self._loop.remove_reader(self._socket)
+            self._socket.listen(0)
+            self._is_listening = False
+            self._fill_backlog()
+        for connection in self.connections:
+            connection.transport.pause_reading()
+
+    def _fill_backlog(self) -> None:
+        for _ in range(BACKLOG_FILLERS):
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(self._socket.getsockname())
+            self._backlog_fillers.append(filler)
+
+    def end_silence(self) -> None:
+        """Reset what was open, if it was silent."""
+        if not self._backlog_fillers:
+            return
+        for filler in self._backlog_fillers:
+            filler.close()
+        self._backlog_fillers = []
+        self._reset_connections()
+
+    def _reset_connections(self) -> None:
+        for connection in list(self.connections):
+            connection.reset()
+
+    def close(self) -> None:
+        """Close the socket and all connections."""
+        self.refuse_connections()
+        self._socket.close()
--- a/swiftthread/lab/load.py
+++ b/swiftthread/lab/load.py
@@ -1,215 +1,150 @@
-"""The load tool: clients that submit events, by schedule (open loop) or one after the other (closed loop).
+"""The load generator: clients that submit events, by schedule (open loop) or one at a time (closed loop).
 
 An open loop's arrivals do not wait for answers, and its latency counts from the scheduled moment: a node that
-stands still is not spared the events that would have come meanwhile. Several processes each take their part
-of one schedule.
+stalls is not spared the events that would have come meanwhile. Several processes each take their part of one
+schedule.
 """
 
 import asyncio
 import json
 import random
-import sys
-from bisect import bisect
-from collections import deque
-from itertools import accumulate, count
+from collections.abc import Sequence
+from contextlib import closing
+from dataclasses import dataclass
+from itertools import count
 
-import httptools
 from hdrh.histogram import HdrHistogram
 
-from swiftthread.lab import run_records
-from swiftthread.lab.run_records import monotonic_ms
+from swiftthread.lab.arrivals import Event, EventSampler, schedule
+from swiftthread.lab.background_tasks import BackgroundTasks
+from swiftthread.lab.control_channel import go_commands, open_stdin
+from swiftthread.lab.event_loop_lag import EventLoopLagMonitor
+from swiftthread.lab.http_client import NO_STATUS, ConnectionPool, HttpReply
+from swiftthread.lab.incident_file import Incident
+from swiftthread.lab.run_records import (
+    ClientAnswered,
+    EventSubmitted,
+    LatencyHistogramRecorded,
+    RecordWriter,
+    monotonic_ms,
+)
 
 HISTOGRAM_MAX_US = 120_000_000  # of the histogram; nothing waits longer than a run
 HISTOGRAM_DIGITS = 3  # significant decimal digits it keeps
-LAG_CHECK_INTERVAL_MS = 10.0  # ms between two looks at the loop's own lag
-DEFAULT_RETRY_AFTER_MS = 300.0  # ms a client waits that heeds advice and was given none
-MAX_RETRY_AFTER_MS = 3000.0  # ms of advice that clients heed
+DEFAULT_RETRY_AFTER_MS = 300.0  # ms that a client waits that heeds Retry-After and was given none
+MAX_RETRY_AFTER_MS = 3000.0  # ms of Retry-After that clients heed
 MAX_SUBMISSIONS = 6  # submissions of one event, the first counted in
+MIN_REMAINING_MS = 50.0  # ms before its max age after which an event is not submitted again
+SLEEP_THRESHOLD_MS = 1.0  # ms: a submission that is due sooner is made at once
 
+BODY_ALPHABET = b"abcdefghijklmnopqrstuvwxyz "
+FEED_REQUEST = b"GET /feed HTTP/1.1\r\nHost: lab\r\n\r\n"
 
-class Event:
-    """One event as its client has it, over all its submissions."""
-
-    __slots__ = (
-        "original_id",
-        "stream",
-        "destination",
-        "key",
-        "subject",
-        "scheduled_at",
-        "expires_at",
-        "attempts",
-    )
-
-    def __init__(self, original_id, stream, destination, key, subject, scheduled_at):
-        self.original_id, self.stream, self.destination, self.key, self.subject, self.scheduled_at = (
-            original_id,
-            stream,
-            destination,
-            key,
-            subject,
-            scheduled_at,
-        )
-        self.expires_at, self.attempts = scheduled_at + stream.max_age_ms, 0
-
-
-def event_sampler(incident, rng):
-    """A function that draws (stream type, destination, subject) by the shares and the skew of an incident."""
-    load, streams = incident.load, incident.stream
-    destinations = [(row.number + at, row.share) for row in incident.destination for at in range(row.count)]
-    cumulative_stream_shares = list(accumulate(stream.share for stream in streams))
-    cumulative_destination_shares = list(
-        accumulate(share / (rank + 1) ** load.skew for rank, (_, share) in enumerate(destinations))
-    )
-
-    def draw():
-        stream = streams[bisect(cumulative_stream_shares, rng.random() * cumulative_stream_shares[-1])]
-        destination = destinations[
-            bisect(cumulative_destination_shares, rng.random() * cumulative_destination_shares[-1])
-        ][0]
-        return stream, destination, f"{destination}-{rng.randrange(load.subjects)}" if stream.in_order else ""
-
-    return draw
 
+@dataclass(frozen=True, slots=True)
+class SubmissionReply:
+    """What became of a submission.
 
-def schedule(incident, seed):
-    """The arrivals of an open loop: (ms from the start, Event) in order.
-
-    Poisson, with the incident's bursts.
+    Attributes:
+        status: The status of the answer, or `NO_STATUS`.
+        retry_after_ms: Its Retry-After; 0 for none.
+        is_connection_broken: Whether the connection closed after the request was written.
     """
-    rng = random.Random(f"arrivals {seed}")
-    draw, at, numbers = event_sampler(incident, rng), 0.0, count()
-    bursts = [
-        (step.at_ms, step.at_ms + step.for_ms, step.factor) for step in incident.step if step.what == "burst"
-    ]
-    peak_rate_per_s = incident.load.rate_per_s * max([1.0] + [factor for _, _, factor in bursts])
-    arrivals = []
-    while True:
-        at += rng.expovariate(peak_rate_per_s / 1000.0)
-        if at >= 1000.0 * incident.lasts_s:
-            return arrivals
-        rate_per_s = incident.load.rate_per_s
-        for start, end, factor in bursts:
-            rate_per_s *= factor if start <= at < end else 1.0
-        if rng.random() * peak_rate_per_s < rate_per_s:
-            stream, destination, subject = draw()
-            original_id = f"e{seed}-{next(numbers)}"
-            key = f"k{original_id}" if stream.effect == "deduplicated" else ""
-            arrivals.append((at, Event(original_id, stream, destination, key, subject, at)))
-
-
-class HttpClientConnection(asyncio.Protocol):
-    """One connection to a node; at most one request at a time. The answer goes to a future."""
-
-    def __init__(self, idle):
-        self.idle, self.pending_reply, self.status, self.headers, self.has_been_used = (
-            idle,
-            None,
-            0,
-            {},
-            False,
-        )
-
-    def connection_made(self, transport):
-        self.transport, self.parser = transport, httptools.HttpResponseParser(self)
-
-    def request(self, data):
-        self.pending_reply, self.headers = asyncio.get_running_loop().create_future(), {}
-        self.transport.write(data)
-        return self.pending_reply
-
-    def data_received(self, data):
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError:
-            self.transport.abort()
-
-    def on_header(self, name, value):
-        self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
-
-    def on_message_complete(self):
-        pending_reply, self.pending_reply = self.pending_reply, None
-        if pending_reply is not None and not pending_reply.done():
-            pending_reply.set_result((self.parser.get_status_code(), self.headers))
-        if self.parser.should_keep_alive():
-            self.parser = httptools.HttpResponseParser(self)
-            self.idle.append(self)
-        else:
-            self.transport.close()
-
-    def connection_lost(self, exc):
-        if self in self.idle:
-            self.idle.remove(self)
-        if self.pending_reply is not None and not self.pending_reply.done():
-            self.pending_reply.set_result((0, None))
 
-    def abort(self):
-        self.pending_reply = None
-        self.transport.abort()
+    status: int
+    retry_after_ms: float = 0.0
+    is_connection_broken: bool = False
 
 
 class LoadGenerator:
-    """All clients of one process; owner of their connections, by node."""
-
-    def __init__(self, incident, seed, part, parts, nodes, record_writer):
-        self.incident, self.load, self.nodes, self.record_writer = (
-            incident,
-            incident.load,
-            nodes,
-            record_writer,
-        )
-        self.part, self.parts, self.seed = part, parts, seed
-        self.rng, self.numbers = random.Random(f"clients {seed} {part}"), count()
-        self.idle = [deque() for _ in nodes]
-        self.body = bytes(self.rng.choices(b"abcdefghijklmnopqrstuvwxyz ", k=self.load.body_bytes))
-        self.accepted = {}  # event_id -> event; emptied as their max age passes
-        self.tasks = set()
-        self.max_lag_ms = 0.0
-        self.histogram = HdrHistogram(1, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS)
-        self.submissions_end_at = 0.0  # moment after which nothing is submitted
-
-    def spawn(self, coroutine):
-        task = asyncio.ensure_future(coroutine)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    async def run(self, t0, notification_address):
-        self.submissions_end_at = t0 + 1000.0 * self.incident.lasts_s
-        self.spawn(self._watch_lag())
-        self.spawn(self._follow_notifications(notification_address))
-        if self.load.kind == "open":
-            await self._run_open_loop(t0)
-        else:
-            own_numbers = range(self.part, self.load.clients, self.parts)
-            await asyncio.gather(*[self._run_closed_loop(t0, number) for number in own_numbers])
+    """All clients of one process; owner of their connections.
+
+    Args:
+        incident: What load there is.
+        seed: Of all chance.
+        part: Which of the processes this is, from 0 on.
+        parts: How many processes there are.
+        nodes: A connection pool for each node.
+        record_writer: Where submissions and answers are recorded.
+    """
 
-    async def _run_open_loop(self, t0):
-        for at, event in schedule(self.incident, self.seed)[self.part :: self.parts]:
-            scheduled_at = t0 + at
-            if (delay_ms := scheduled_at - monotonic_ms()) > 1.0:
+    def __init__(
+        self,
+        incident: Incident,
+        seed: int,
+        part: int,
+        parts: int,
+        nodes: Sequence[ConnectionPool],
+        record_writer: RecordWriter,
+    ) -> None:
+        self._incident = incident
+        self._load = incident.load
+        self._seed = seed
+        self._part = part
+        self._parts = parts
+        self._nodes = nodes
+        self._record_writer = record_writer
+        self._process = f"load {part}"
+        self._rng = random.Random(f"clients {seed} {part}")
+        self._body = bytes(self._rng.choices(BODY_ALPHABET, k=self._load.body_bytes))
+        self._accepted: dict[str, Event] = {}  # by submission's id, until their max age
+        self._tasks = BackgroundTasks()
+        self._histogram = HdrHistogram(1, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS)
+
+    def start(self, started_at: float, feed_address: str) -> None:
+        """Let the clients submit from this moment on, in ms, until the incident's end."""
+        self._tasks.spawn(self._run(started_at, feed_address))
+
+    async def _run(self, started_at: float, feed_address: str) -> None:
+        self._tasks.spawn(self._watch_lag())
+        self._tasks.spawn(self._follow_feed(feed_address))
+        if self._load.kind == "open":
+            await self._run_open_loop(started_at)
+            return
+        numbers = range(self._part, self._load.clients, self._parts)
+        await asyncio.gather(*[self._run_closed_loop(started_at, number) for number in numbers])
+
+    async def _run_open_loop(self, started_at: float) -> None:
+        arrivals = schedule(self._incident, self._seed)
+        for at, event in arrivals[self._part :: self._parts]:
+            event.scheduled_at = started_at + at
+            delay_ms = event.scheduled_at - monotonic_ms()
+            if delay_ms > SLEEP_THRESHOLD_MS:
                 await asyncio.sleep(delay_ms / 1000.0)
-            event.scheduled_at, event.expires_at = scheduled_at, scheduled_at + event.stream.max_age_ms
-            self.spawn(self.submit(event))
-
-    async def _run_closed_loop(self, t0, number):
-        draw, own_numbers = (
-            event_sampler(self.incident, random.Random(f"client {self.seed} {number}")),
-            count(),
-        )
-        await asyncio.sleep(max(0.0, t0 - monotonic_ms()) / 1000.0)
-        while monotonic_ms() < self.submissions_end_at:
-            stream, destination, subject = draw()
-            original_id = f"e{self.seed}-c{number}-{next(own_numbers)}"
-            key = f"k{original_id}" if stream.effect == "deduplicated" else ""
-            await self.submit(Event(original_id, stream, destination, key, subject, monotonic_ms()))
-
-    async def submit(self, event):
-        """One submission and what follows from its answer."""
+            self._tasks.spawn(self._submit(event))
+
+    async def _run_closed_loop(self, started_at: float, number: int) -> None:
+        sampler = EventSampler(self._incident, random.Random(f"client {self._seed} {number}"))
+        event_numbers = count()
+        ends_at = started_at + 1000.0 * self._incident.lasts_s
+        await asyncio.sleep(max(0.0, started_at - monotonic_ms()) / 1000.0)
+        while monotonic_ms() < ends_at:
+            original_id = f"e{self._seed}-c{number}-{next(event_numbers)}"
+            await self._submit(sampler.draw(original_id, monotonic_ms()))
+
+    async def _submit(self, event: Event) -> None:
+        """Submit an event once, and do what follows from the answer."""
         event_id = event.original_id if not event.attempts else f"{event.original_id}.{event.attempts}"
         event.attempts += 1
-        node, started_at = self.rng.randrange(len(self.nodes)), monotonic_ms()
-        self.record_writer.write(
-            run_records.EventSubmitted(
+        node = self._rng.randrange(len(self._nodes))
+        started_at = monotonic_ms()
+        latency_from = event.scheduled_at if event.attempts == 1 else started_at
+        self._record_submission(event, event_id, node, started_at)
+        reply = await self._request(self._nodes[node], event_id, event)
+        now = monotonic_ms()
+        self._record_writer.write(
+            ClientAnswered(now, event_id, reply.status, reply.retry_after_ms, reply.is_connection_broken)
+        )
+        self._histogram.record_value(int(1000.0 * max(0.0, now - latency_from)) or 1)
+        if reply.status == 202:
+            self._accepted[event_id] = event
+        else:
+            # Without an answer the node may have accepted it: a client submits it again all the same.
+            self._resubmit(event, reply.retry_after_ms)
+
+    def _record_submission(self, event: Event, event_id: str, node: int, started_at: float) -> None:
+        self._record_writer.write(
+            EventSubmitted(
                 started_at,
                 event_id,
                 event.original_id,
@@ -222,137 +157,124 @@
                 event.scheduled_at,
             )
         )
-        status, retry_after_ms, is_connection_broken = await self._request_with_timeout(node, event_id, event)
-        now = monotonic_ms()
-        self.record_writer.write(
-            run_records.ClientAnswered(now, event_id, status, retry_after_ms, is_connection_broken)
-        )
-        self.histogram.record_value(
-            int(1000.0 * max(0.0, now - (event.scheduled_at if event.attempts == 1 else started_at))) or 1
-        )
-        if status == 202:
-            self.accepted[event_id] = event
-        else:
-            # Without an answer the event may be held: a client hands it in anew, as the platform's do.
-            self._resubmit(event, retry_after_ms)
 
-    def _resubmit(self, event, retry_after_ms):
-        if self.load.come_back == "never" or event.attempts >= MAX_SUBMISSIONS:
+    def _resubmit(self, event: Event, retry_after_ms: float) -> None:
+        """Submit an event again after a wait, if its client does that and there is time left."""
+        if self._load.come_back == "never" or event.attempts >= MAX_SUBMISSIONS:
             return
-        wait_ms = (
-            0.0
-            if self.load.come_back == "at_once"
-            else min(retry_after_ms or DEFAULT_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
-        )
-        if monotonic_ms() + wait_ms + 50.0 < event.expires_at:
-            self.spawn(self._resubmit_after(event, wait_ms))
+        wait_ms = 0.0
+        if self._load.come_back == "as_told":
+            wait_ms = min(retry_after_ms or DEFAULT_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
+        if monotonic_ms() + wait_ms + MIN_REMAINING_MS < event.expires_at:
+            self._tasks.spawn(self._submit_after(event, wait_ms))
 
-    async def _resubmit_after(self, event, wait_ms):
+    async def _submit_after(self, event: Event, wait_ms: float) -> None:
         await asyncio.sleep(wait_ms / 1000.0)
-        await self.submit(event)
+        await self._submit(event)
 
-    async def _request_with_timeout(self, node, event_id, event):
-        """(status, ms of advice, whether the connection broke with the request written)."""
+    async def _request(self, node: ConnectionPool, event_id: str, event: Event) -> SubmissionReply:
+        """Submit an event to a node within the client's patience."""
         try:
-            async with asyncio.timeout(self.load.patience_ms / 1000.0):
-                connection = None
-                while connection is None or connection.transport.is_closing():
-                    connection = self.idle[node].pop() if self.idle[node] else await self._connect(node)
-                try:
-                    status, headers = await connection.request(self._encode_request(event_id, event))
-                except asyncio.CancelledError:
-                    connection.abort()
-                    raise
-                if headers is None and connection.has_been_used:
-                    # It was closed between requests as ours crossed it: once more, on a new connection.
-                    connection = await self._connect(node)
-                    status, headers = await connection.request(self._encode_request(event_id, event))
-                connection.has_been_used = True
+            async with asyncio.timeout(self._load.patience_ms / 1000.0):
+                reply = await self._exchange(node, event_id, event)
         except (TimeoutError, OSError):
-            return 0, 0.0, False
-        if headers is None:
-            return 0, 0.0, True
+            return SubmissionReply(NO_STATUS)
+        if not reply.is_response():
+            return SubmissionReply(NO_STATUS, is_connection_broken=True)
         try:
-            return status, 1000.0 * float(headers.get("retry-after", 0)), False
+            retry_after_ms = 1000.0 * float(reply.headers.get("retry-after", 0))
         except ValueError:
-            return status, 0.0, False
-
-    async def _connect(self, node):
-        host, port = self.nodes[node]
-        _, connection = await asyncio.get_running_loop().create_connection(
-            lambda: HttpClientConnection(self.idle[node]), host, port
-        )
-        return connection
+            retry_after_ms = 0.0
+        return SubmissionReply(reply.status, retry_after_ms)
 
-    def _encode_request(self, event_id, event):
+    async def _exchange(self, node: ConnectionPool, event_id: str, event: Event) -> HttpReply:
+        connection = await node.acquire()
+        try:
+            reply = await connection.request(self._encode_request(event_id, event))
+        except asyncio.CancelledError:
+            connection.abort()
+            raise
+        if not reply.is_response() and connection.has_been_used:
+            # The node closed it between two requests, as ours was on its way: repeat on a new connection.
+            connection = await node.connect()
+            reply = await connection.request(self._encode_request(event_id, event))
+        connection.has_been_used = True
+        return reply
+
+    def _encode_request(self, event_id: str, event: Event) -> bytes:
         remaining_ms = max(1, int(event.expires_at - monotonic_ms()))
         key = f"Idempotency-Key: {event.key}\r\n" if event.key else ""
         path = f"/{event.stream.name}/{event.subject}" if event.subject else f"/{event.stream.name}"
-        return (
-            f"POST {path} HTTP/1.1\r\nHost: node\r\nX-Txn: {event_id}\r\nX-Lane: {event.stream.name}\r\n"
-            f"X-Remaining: {remaining_ms}m\r\nX-Route-To: dest={event.destination}\r\n{key}"
-            f"Content-Length: {len(self.body)}\r\n\r\n"
-        ).encode() + self.body
-
-    async def _follow_notifications(self, notification_address):
-        """What the platform says was handed back comes again."""
-        host, _, port = notification_address.rpartition(":")
+        head = (
+            f"POST {path} HTTP/1.1\r\n"
+            "Host: node\r\n"
+            f"X-Txn: {event_id}\r\n"
+            f"X-Lane: {event.stream.name}\r\n"
+            f"X-Remaining: {remaining_ms}m\r\n"
+            f"X-Route-To: dest={event.destination}\r\n"
+            f"{key}"
+            f"Content-Length: {len(self._body)}\r\n"
+            "\r\n"
+        )
+        return head.encode() + self._body
+
+    async def _follow_feed(self, address: str) -> None:
+        """Submit again what nodes handed back."""
+        host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(b"GET /feed HTTP/1.1\r\nHost: lab\r\n\r\n")
-        while line := await reader.readline():
-            event_id, retry_after_ms = json.loads(line)
-            event = self.accepted.pop(event_id, None)
-            if event is not None:
-                self._resubmit(event, retry_after_ms)
-
-    async def _watch_lag(self):
-        reported_at = monotonic_ms()
+        with closing(writer):
+            writer.write(FEED_REQUEST)
+            while line := await reader.readline():
+                event_id, retry_after_ms = json.loads(line)
+                event = self._accepted.pop(event_id, None)
+                if event is not None:
+                    self._resubmit(event, retry_after_ms)
+
+    async def _watch_lag(self) -> None:
+        """Record the event loop's lag, and forget expired events now and then."""
+        lag_monitor = EventLoopLagMonitor(self._process, self._record_writer)
         while True:
-            expected_at = monotonic_ms() + LAG_CHECK_INTERVAL_MS
-            await asyncio.sleep(LAG_CHECK_INTERVAL_MS / 1000.0)
-            now = monotonic_ms()
-            self.max_lag_ms = max(self.max_lag_ms, now - expected_at)
-            if now - reported_at > 250.0:
-                self.record_writer.write(
-                    run_records.EventLoopLagged(now, f"load {self.part}", self.max_lag_ms)
-                )
-                self.max_lag_ms, reported_at = 0.0, now
-                for event_id in [
-                    event_id for event_id, event in self.accepted.items() if event.expires_at < now
-                ]:
-                    del self.accepted[event_id]
-
-    def close(self):
-        for task in self.tasks:
-            task.cancel()
-        for connections in self.idle:
-            for connection in list(connections):
-                connection.abort()
-        self.record_writer.write(
-            run_records.LatencyHistogramRecorded(
-                monotonic_ms(), f"load {self.part}", self.histogram.encode().decode()
-            )
-        )
+            if await lag_monitor.check():
+                now = monotonic_ms()
+                self._accepted = {
+                    event_id: event for event_id, event in self._accepted.items() if event.expires_at >= now
+                }
+
+    def close(self) -> None:
+        """Cancel all clients, abort idle connections and record the latency histogram."""
+        self._tasks.cancel()
+        for node in self._nodes:
+            node.abort()
+        encoded = self._histogram.encode().decode()
+        self._record_writer.write(LatencyHistogramRecorded(monotonic_ms(), self._process, encoded))
+
+
+async def serve(incident: Incident, seed: int, part: int, parts: int, path: str) -> None:
+    """Run the clients of one process until `stop` is read from standard input.
+
+    Prints `ready`, then starts them at a `go MOMENT FEED_ADDRESS NODE_ADDRESS,...`.
+
+    Args:
+        incident: What load there is.
+        seed: Of all chance.
+        part: Which of the processes this is, from 0 on.
+        parts: How many processes there are.
+        path: The file for records.
+    """
+    with closing(RecordWriter(path)) as record_writer:
+        stdin = await open_stdin()
+        generator: LoadGenerator | None = None
+        try:
+            print("ready", flush=True)
+            async for started_at, feed_address, node_addresses in go_commands(stdin):
+                nodes = [_connection_pool(address) for address in node_addresses.split(",")]
+                generator = LoadGenerator(incident, seed, part, parts, nodes, record_writer)
+                generator.start(float(started_at), feed_address)
+        finally:
+            if generator is not None:
+                generator.close()
 
 
-async def serve(incident, seed, part, parts, path):
-    """Clients as a process: prints `ready`, takes `go MOMENT FEED NODES` and `stop` as lines of input."""
-    record_writer = run_records.RecordWriter(path)
-    reader = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(
-        lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
-    )
-    generator = None
-    try:
-        print("ready", flush=True)
-        while command := (await reader.readline()).split():
-            if command[0] == b"go":
-                nodes = [tuple(address.rsplit(":", 1)) for address in command[3].decode().split(",")]
-                generator = LoadGenerator(incident, seed, part, parts, nodes, record_writer)
-                generator.spawn(generator.run(float(command[1]), command[2].decode()))
-            elif command[0] == b"stop":
-                break
-    finally:
-        if generator:
-            generator.close()
-        record_writer.close()
+def _connection_pool(address: str) -> ConnectionPool:
+    host, _, port = address.rpartition(":")
+    return ConnectionPool(host, int(port))
--- a/swiftthread/lab/receiver_model.py
+++ b/swiftthread/lab/receiver_model.py
@@ -1,391 +1,333 @@
-"""How receivers behave, without I/O: fed arrivals and a clock, it says what happens at which moment.
+"""How receivers behave, without I/O: fed calls and a clock, it says what is answered and when.
 
-A driver (sockets now, virtual time elsewhere) builds a `ReceiverModel`, calls `open_connection`, `arrive`,
-`abandon` and `apply` as things happen, and `advance` no later than `next_completion_at`. The same calls at
-the same moments give the same answers: all chance comes from the one random source passed in. Moments and
-lengths of time are ms.
+A driver (sockets, or virtual time in tests) builds a `ReceiverModel`, calls `open_connection`, `arrive` and
+`apply` as things happen, and `advance` no later than `next_completion_at`. The same calls at the same moments
+give the same answers: all chance comes from the one random source passed in. All times are ms.
 """
 
 import heapq
 import math
-from collections import deque
+import random
+from collections.abc import Callable, Iterable
 from itertools import count
-from typing import NamedTuple
+from typing import ClassVar, NamedTuple
 
-# What a call gets. NOTHING: silence until its caller leaves.
-DONE, ERROR, RATE_LIMITED, UNAVAILABLE, RESET, TRUNCATED, NO_REPLY = (
-    "done",
-    "error",
-    "full",
-    "shut",
-    "reset",
-    "half",
-    "nothing",
-)
+from swiftthread.lab.faults import Fault, FaultKind
+from swiftthread.lab.outcomes import CallOutcome, DestinationChange
+from swiftthread.lab.receivers import Answer, Call, Destination, Endpoint
 
-# Slack of a recovery budget for chance.
-OVERLOAD_SLACK_CALLS = 3.0  # calls
-OVERLOAD_SLACK_SIGMAS = 3.0  # x the budget's square root
+# The outcomes by the names that the referee uses.
+DONE = CallOutcome.DONE
+ERROR = CallOutcome.ERROR
+RATE_LIMITED = CallOutcome.RATE_LIMITED
+UNAVAILABLE = CallOutcome.UNAVAILABLE
 
+EXTRA_EVENT_LOAD = 0.05  # calls: the load of each event of a call beyond the first
 
-class Answer(NamedTuple):
-    """What the driver writes to a call, and the wait that it tells (ms; 0: none).
+OUTCOMES_BY_FAILURE_FAULT = {
+    FaultKind.ERRORS: CallOutcome.ERROR,
+    FaultKind.RESET_AFTER_REQUEST: CallOutcome.RESET,
+    FaultKind.TRUNCATE_RESPONSES: CallOutcome.TRUNCATED,
+    FaultKind.WITHHOLD_RESPONSES: CallOutcome.NO_REPLY,
+}
 
-    `reached_worker`: it got as far as the receiver's work, so that it may have run.
-    """
 
-    call: object
-    outcome: str
-    retry_after_ms: float = 0.0
-    reached_worker: bool = False
+class CallArrived(NamedTuple):
+    """The last byte of a call arrived."""
 
+    at: float
+    endpoint: str
+    tag: int
 
-class Call:
-    """One call under way. `tag` is the driver's; `size`: events in it."""
 
-    __slots__ = ("tag", "endpoint", "size", "arrived", "completes_at", "is_abandoned")
+class CallEnded(NamedTuple):
+    """A call was answered at once, or its work ended."""
 
-    def __init__(self, tag, endpoint, size, arrived):
-        self.tag, self.endpoint, self.size, self.arrived = tag, endpoint, size, arrived
-        self.completes_at, self.is_abandoned = math.inf, False
+    at: float
+    outcome: CallOutcome
+    endpoint: str
+    tag: int
 
 
-def service_time_sampler(kind, mean_ms, cv, rng):
-    """A function that draws one service time in ms."""
-    if kind == "fixed":
-        return lambda: mean_ms
-    if kind == "exponential":
-        return lambda: rng.expovariate(1.0 / mean_ms)
-    sigma = math.sqrt(math.log(1.0 + cv * cv))
-    return lambda: mean_ms * rng.lognormvariate(-sigma * sigma / 2.0, sigma)
+class DestinationAvailabilityChanged(NamedTuple):
+    """A destination was overloaded or recovered."""
 
+    at: float
+    change: DestinationChange
+    destination: int
 
-class RateLimit:
-    """Calls that a destination takes from all together.
 
-    Smooth (each `1000 / rate` ms, `burst` early) or so many in each span. `refusals_use`: a refused call uses
-    it up like any other. Waits are honest: after them there is room.
-    """
+class FaultApplied(NamedTuple):
+    """A fault was applied to these endpoints."""
 
-    def __init__(self, rate_per_s, span_ms=0.0, burst=2, refusals_use=False):
-        self.configured_rate = self.rate_per_ms = rate_per_s / 1000.0
-        self.window_ms, self.burst, self.refusals_use = span_ms, burst, refusals_use
-        self.next_slot_at, self.window_started_at, self.used_in_window = -math.inf, -math.inf, 0
-
-    def try_admit(self, now, warmth=1.0):
-        """(whether it takes one more call, ms until it will)."""
-        if not self.rate_per_ms:
-            return True, 0.0
-        rate_per_ms = self.rate_per_ms * warmth
-        return (
-            self._admit_in_window(now, rate_per_ms) if self.window_ms else self._admit_paced(now, rate_per_ms)
-        )
+    at: float
+    kind: FaultKind
+    endpoints: list[str]
 
-    def _admit_in_window(self, now, rate_per_ms):
-        start = now - now % self.window_ms
-        if start != self.window_started_at:
-            self.window_started_at, self.used_in_window = start, 0
-        is_admitted = self.used_in_window + 1 <= max(1.0, rate_per_ms * self.window_ms)
-        self.used_in_window += is_admitted or self.refusals_use
-        return is_admitted, 0.0 if is_admitted else start + self.window_ms - now
-
-    def _admit_paced(self, now, rate_per_ms):
-        slot_at = max(now, self.next_slot_at)
-        ahead_ms = slot_at - now
-        is_admitted = ahead_ms <= (self.burst - 1) / rate_per_ms + 1e-9
-        if is_admitted or self.refusals_use:
-            # Refused calls that use it up push the moment away, but never past one burst more.
-            self.next_slot_at = (
-                slot_at + 1.0 / rate_per_ms
-                if is_admitted
-                else min(slot_at + 1.0 / rate_per_ms, now + 2 * self.burst / rate_per_ms)
-            )
-        return is_admitted, 0.0 if is_admitted else self.next_slot_at - now - (self.burst - 1) / rate_per_ms
-
-
-class Destination:
-    """What its endpoints share: the limit, and how warm it is after an outage."""
-
-    def __init__(
-        self,
-        number,
-        limit,
-        cold_from=1.0,
-        warm_up_ms=1.0,
-        fall_multiple=math.inf,
-        fall_ms=2000.0,
-        tells_wait=True,
-    ):
-        self.number, self.limit, self.tells_wait, self.endpoints = number, limit, tells_wait, []
-        self.cold_from, self.warm_up_ms, self.overload_multiple, self.fall_ms = (
-            cold_from,
-            warm_up_ms,
-            fall_multiple,
-            fall_ms,
-        )
-        self.recovered_at, self.is_overloaded, self.unavailable_until, self.unavailability_wait_ms = (
-            -math.inf,
-            False,
-            -math.inf,
-            0.0,
-        )
-        self.recent_loads = deque()  # (moment, load) since it came back; emptied once it is warm
-
-    def warmth(self, now):
-        """The share of its capacity that it has."""
-        return min(1.0, self.cold_from + (1.0 - self.cold_from) * (now - self.recovered_at) / self.warm_up_ms)
-
-    def capacity(self):
-        """Calls per ms that it can do when warm."""
-        if self.limit.rate_per_ms:
-            return self.limit.rate_per_ms
-        return sum(
-            endpoint.workers / endpoint.mean_service_ms
-            for endpoint in self.endpoints
-            if not endpoint.is_removed
-        )
 
-    def is_down(self):
-        return all(endpoint.is_down() or endpoint.is_removed for endpoint in self.endpoints)
+ModelEvent = CallArrived | CallEnded | DestinationAvailabilityChanged | FaultApplied
+ModelObserver = Callable[[ModelEvent], None]
 
-    def record_load(self, now, load):
-        """Count a call, refused or not; whether the destination falls by it (once)."""
-        if self.is_overloaded or now >= self.recovered_at + self.warm_up_ms:
-            self.recent_loads.clear()
-            return False
-        self.recent_loads.append((now, load))
-        while self.recent_loads[0][0] < now - self.fall_ms:
-            self.recent_loads.popleft()
-        budget = self.overload_multiple * self.capacity() * self.warmth(now) * self.fall_ms
-        self.is_overloaded = sum(
-            load for _, load in self.recent_loads
-        ) > budget + OVERLOAD_SLACK_CALLS + OVERLOAD_SLACK_SIGMAS * math.sqrt(budget)
-        return self.is_overloaded
-
-
-class Endpoint:
-    """Workers, a queue with a bound, a table of connections, and what is wrong with it at present."""
-
-    def __init__(
-        self,
-        name,
-        destination,
-        zone,
-        workers,
-        queue_capacity,
-        max_connections,
-        draw_service_ms,
-        mean_service_ms,
-    ):
-        self.name, self.destination, self.zone, self.workers, self.queue_capacity = (
-            name,
-            destination,
-            zone,
-            workers,
-            queue_capacity,
-        )
-        self.max_connections, self.draw_service_ms, self.mean_service_ms = (
-            max_connections,
-            draw_service_ms,
-            mean_service_ms,
-        )
-        self.open_connections, self.busy_workers, self.queue = 0, 0, deque()
-        self.is_crashed = self.is_silent = self.is_draining = self.is_removed = False
-        self.paused_until, self.service_time_factor, self.failure_shares, self.rejection_share = (
-            -math.inf,
-            1.0,
-            {},
-            0.0,
-        )
-        destination.endpoints.append(self)
 
-    def is_down(self):
-        return self.is_crashed or self.is_silent
+class Completion(NamedTuple):
+    """An entry of the heap of calls that a worker executes; `sequence` keeps ties in their order."""
+
+    at: float
+    sequence: int
+    call: Call
+
+
+class ImmediateReply(NamedTuple):
+    """The answer to a call that is not admitted, with a Retry-After in ms (0: none)."""
+
+    outcome: CallOutcome
+    retry_after_ms: float = 0.0
+
+
+class Arrival(NamedTuple):
+    """A call that arrived, and its answer if it has one at once."""
+
+    call: Call
+    answer: Answer | None
+
+
+def _ignore(event: ModelEvent) -> None:
+    """Observe nothing."""
 
 
 class ReceiverModel:
-    """All receivers of a run. `on_event` is called with each thing that happens as (moment, words ...)."""
+    """All receivers of a run.
 
-    def __init__(self, rng, on_event=lambda *row: None):
-        self.rng, self.on_event, self.endpoints, self.destinations = rng, on_event, {}, {}
-        self.completions = []  # heap of (moment, number, call); emptied as calls end
-        self.completion_sequence = count()
+    Attributes:
+        observe: Called with each event of the model as it happens.
+        endpoints: All endpoints by name.
+        destinations: All destinations by number.
+    """
 
-    def add(self, endpoint):
-        self.destinations[endpoint.destination.number], self.endpoints[endpoint.name] = (
-            endpoint.destination,
-            endpoint,
-        )
+    def __init__(self, rng: random.Random, observe: ModelObserver = _ignore) -> None:
+        self.observe = observe
+        self.endpoints: dict[str, Endpoint] = {}
+        self.destinations: dict[int, Destination] = {}
+        self._rng = rng
+        self._completions: list[Completion] = []
+        self._completion_sequence = count()
+
+    def add(self, endpoint: Endpoint) -> Endpoint:
+        """Add an endpoint, and its destination with it."""
+        self.destinations[endpoint.destination.number] = endpoint.destination
+        self.endpoints[endpoint.name] = endpoint
         return endpoint
 
-    def open_connection(self, endpoint):
-        """Whether a connection finds room in the table; if so it holds a place until `close_connection`."""
+    def open_connection(self, endpoint: Endpoint) -> bool:
+        """Take a place in the connection table until `close_connection`; return whether there was one."""
         if endpoint.is_down() or endpoint.open_connections >= endpoint.max_connections:
             return False
         endpoint.open_connections += 1
         return True
 
-    def close_connection(self, endpoint):
+    def close_connection(self, endpoint: Endpoint) -> None:
+        """Give the place in the connection table back."""
         endpoint.open_connections -= 1
 
-    def arrive(self, now, endpoint, tag, size=1, extra_event_load=0.05):
-        """A call's last byte has come: (the call, its answer if it has one at once)."""
-        call, destination = Call(tag, endpoint, size, now), endpoint.destination
-        self.on_event(now, "arrives", endpoint.name, tag)
-        if not endpoint.is_down() and destination.record_load(now, 1.0 + extra_event_load * (size - 1)):
-            self.on_event(now, "falls", destination.number)
-            for other in destination.endpoints:
-                other.is_crashed = True
-        reply = self._immediate_reply(now, endpoint, destination)
-        if reply:
-            self.on_event(now, reply[0], endpoint.name, tag)
-            return call, Answer(call, *reply)
-        if endpoint.busy_workers < endpoint.workers:
+    def arrive(self, now: float, endpoint: Endpoint, tag: int, size: int = 1) -> Arrival:
+        """Take a call of `size` events whose last byte has arrived."""
+        call = Call(tag, endpoint, size)
+        destination = endpoint.destination
+        self.observe(CallArrived(now, endpoint.name, tag))
+        load = 1.0 + EXTRA_EVENT_LOAD * (size - 1)
+        if not endpoint.is_down() and destination.record_load(now, load):
+            self._take_down(now, destination)
+        reply = self._immediate_reply(now, endpoint)
+        if reply is not None:
+            self.observe(CallEnded(now, reply.outcome, endpoint.name, tag))
+            return Arrival(call, Answer(call, reply.outcome, reply.retry_after_ms))
+        if endpoint.has_idle_worker():
             self._start(now, call)
         else:
             endpoint.queue.append(call)
-        return call, None
+        return Arrival(call, None)
+
+    def _take_down(self, now: float, destination: Destination) -> None:
+        self.observe(DestinationAvailabilityChanged(now, DestinationChange.OVERLOADED, destination.number))
+        for endpoint in destination.endpoints:
+            endpoint.is_crashed = True
+
+    def _immediate_reply(self, now: float, endpoint: Endpoint) -> ImmediateReply | None:
+        """Return the answer of a call that is not admitted, or None when it is."""
+        unavailability = self._unavailability_reply(now, endpoint)
+        if unavailability is not None:
+            return unavailability
+        for outcome, share in endpoint.failure_shares.items():
+            if self._rng.random() < share:
+                return ImmediateReply(outcome)
+        if endpoint.rejection_share and self._rng.random() < endpoint.rejection_share:
+            return ImmediateReply(CallOutcome.RATE_LIMITED)
+        destination = endpoint.destination
+        admission = destination.rate_limit.try_admit(now, destination.warmth(now))
+        if not admission.is_admitted:
+            retry_after_ms = admission.retry_after_ms if destination.sends_retry_after else 0.0
+            return ImmediateReply(CallOutcome.RATE_LIMITED, retry_after_ms)
+        if not endpoint.has_idle_worker() and len(endpoint.queue) >= endpoint.queue_capacity:
+            return ImmediateReply(CallOutcome.UNAVAILABLE)
+        return None
 
-    def _immediate_reply(self, now, endpoint, destination):
-        """(outcome, Retry-After in ms) of a call answered at once, or None when it is admitted."""
+    def _unavailability_reply(self, now: float, endpoint: Endpoint) -> ImmediateReply | None:
+        """Return the answer of an endpoint that takes no calls at all, or None when it does."""
         if endpoint.is_crashed:
-            return RESET, 0.0
+            return ImmediateReply(CallOutcome.RESET)
         if endpoint.is_silent:
-            return NO_REPLY, 0.0
+            return ImmediateReply(CallOutcome.NO_REPLY)
         if endpoint.is_draining or endpoint.is_removed:
-            return UNAVAILABLE, 0.0
+            return ImmediateReply(CallOutcome.UNAVAILABLE)
+        destination = endpoint.destination
         if now < destination.unavailable_until:
-            return (
-                RATE_LIMITED,
-                destination.unavailable_until - now if destination.unavailability_wait_ms else 0.0,
-            )
-        for outcome, share in endpoint.failure_shares.items():
-            if self.rng.random() < share:
-                return outcome, 0.0
-        if endpoint.rejection_share and self.rng.random() < endpoint.rejection_share:
-            return RATE_LIMITED, 0.0
-        is_admitted, retry_after_ms = destination.limit.try_admit(now, destination.warmth(now))
-        if not is_admitted:
-            return RATE_LIMITED, retry_after_ms if destination.tells_wait else 0.0
-        if endpoint.busy_workers >= endpoint.workers and len(endpoint.queue) >= endpoint.queue_capacity:
-            return UNAVAILABLE, 0.0
+            remaining_ms = destination.unavailable_until - now
+            retry_after_ms = remaining_ms if destination.unavailability_has_retry_after else 0.0
+            return ImmediateReply(CallOutcome.RATE_LIMITED, retry_after_ms)
         return None
 
-    def _start(self, now, call):
+    def _start(self, now: float, call: Call) -> None:
         endpoint = call.endpoint
         endpoint.busy_workers += 1
-        work_ms = (
-            endpoint.draw_service_ms()
-            * endpoint.service_time_factor
-            * call.size
-            / endpoint.destination.warmth(now)
-        )
+        service_ms = endpoint.draw_service_ms() * endpoint.service_time_factor * call.size
+        work_ms = service_ms / endpoint.destination.warmth(now)
         call.completes_at = max(now, endpoint.paused_until) + work_ms
-        heapq.heappush(self.completions, (call.completes_at, next(self.completion_sequence), call))
+        self._push_completion(call)
 
-    def next_completion_at(self):
-        return self.completions[0][0] if self.completions else math.inf
+    def _push_completion(self, call: Call) -> None:
+        heapq.heappush(
+            self._completions, Completion(call.completes_at, next(self._completion_sequence), call)
+        )
 
-    def advance(self, now):
-        """Answers of all calls that end until now, in order.
+    def next_completion_at(self) -> float:
+        """Return the moment by which `advance` must be called; infinite when nothing is under way."""
+        return self._completions[0].at if self._completions else math.inf
 
-        A call whose caller has left ends too, unheard.
-        """
+    def advance(self, now: float) -> list[Answer]:
+        """End all calls whose work is over by `now`; return their answers in order."""
         answers = []
-        while self.completions and self.completions[0][0] <= now:
-            at, _, call = heapq.heappop(self.completions)
-            if call.completes_at != at:
-                if call.completes_at < math.inf:  # a pause moved it
-                    heapq.heappush(
-                        self.completions, (call.completes_at, next(self.completion_sequence), call)
-                    )
-                continue
-            endpoint = call.endpoint
-            endpoint.busy_workers -= 1
-            call.completes_at = math.inf
-            self.on_event(at, DONE, endpoint.name, call.tag)
-            answers.append(Answer(call, DONE, reached_worker=True))
-            while endpoint.queue and endpoint.busy_workers < endpoint.workers:
-                self._start(at, endpoint.queue.popleft())
+        while self._completions and self._completions[0].at <= now:
+            at, _, call = heapq.heappop(self._completions)
+            if call.completes_at == at:
+                answers.append(self._complete(at, call))
+            elif call.completes_at < math.inf:
+                self._push_completion(call)  # a pause has moved it
         return answers
 
-    def abandon(self, call):
-        """The caller stopped waiting. The work goes on: a receiver learns of it too late."""
-        call.is_abandoned = True
+    def _complete(self, at: float, call: Call) -> Answer:
+        endpoint = call.endpoint
+        endpoint.busy_workers -= 1
+        call.completes_at = math.inf
+        self.observe(CallEnded(at, CallOutcome.DONE, endpoint.name, call.tag))
+        while endpoint.queue and endpoint.has_idle_worker():
+            self._start(at, endpoint.queue.popleft())
+        return Answer(call, CallOutcome.DONE)
+
+    def apply(self, now: float, fault: Fault, endpoints: Iterable[Endpoint]) -> list[Answer]:
+        """Apply a fault to endpoints; return the answers that calls in flight get at once.
+
+        Raises:
+            KeyError: The fault is one of the sockets alone.
+        """
+        endpoints = list(endpoints)
+        self.observe(FaultApplied(now, fault.kind, [endpoint.name for endpoint in endpoints]))
+        handler = self._FAULT_HANDLERS[fault.kind]
+        answers: list[Answer] = []
+        for endpoint in endpoints:
+            answers += handler(self, now, endpoint, fault) or ()
+        return answers
 
-    def _drop_calls(self, endpoint):
-        """The calls an endpoint held when it died; none of them ends."""
-        unfinished = [
-            call
-            for _, _, call in self.completions
-            if call.endpoint is endpoint and call.completes_at < math.inf
+    def _refuse_connections(self, now: float, endpoint: Endpoint, fault: Fault) -> list[Answer]:
+        lost_calls = self._lose_calls(endpoint)
+        endpoint.is_crashed = True
+        endpoint.is_silent = False
+        return [Answer(call, CallOutcome.RESET) for call in lost_calls]
+
+    def _go_silent(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        self._lose_calls(endpoint)
+        endpoint.is_crashed = False
+        endpoint.is_silent = True
+
+    def _lose_calls(self, endpoint: Endpoint) -> list[Call]:
+        """Drop the calls in flight at an endpoint that dies, so that none of them ends; return them."""
+        lost_calls = [
+            completion.call
+            for completion in self._completions
+            if completion.call.endpoint is endpoint and completion.call.completes_at < math.inf
         ]
-        unfinished += endpoint.queue
-        for call in unfinished:
+        lost_calls += endpoint.queue
+        for call in lost_calls:
             call.completes_at = math.inf
         endpoint.queue.clear()
         endpoint.busy_workers = 0
-        return [Answer(call, RESET, reached_worker=True) for call in unfinished]
+        return lost_calls
 
-    def apply(self, now, what, endpoints, share=1.0, wait_ms=0.0, factor=1.0, for_ms=0.0):
-        """Something happens to endpoints; the answers that it leads to at once."""
-        self.on_event(now, what, *[endpoint.name for endpoint in endpoints])
-        answers = []
-        for endpoint in endpoints:
-            destination = endpoint.destination
-            if what in ("refuse", "vanish"):
-                if what == "refuse":
-                    answers += self._drop_calls(endpoint)
-                else:
-                    self._drop_calls(endpoint)
-                endpoint.is_crashed, endpoint.is_silent = what == "refuse", what == "vanish"
-            elif what == "errors":
-                endpoint.failure_shares[ERROR] = share
-            elif what == "reset_after":
-                endpoint.failure_shares[RESET] = share
-            elif what == "half_answers":
-                endpoint.failure_shares[TRUNCATED] = share
-            elif what == "swallow":
-                endpoint.failure_shares[NO_REPLY] = share
-            elif what == "full":
-                endpoint.rejection_share = share
-            elif what == "shut":
-                destination.unavailable_until, destination.unavailability_wait_ms = now + for_ms, wait_ms
-            elif what == "slow":
-                endpoint.service_time_factor = factor
-            elif what == "limit":
-                destination.limit.rate_per_ms = destination.limit.configured_rate * factor
-            elif what == "pause":
-                self._pause(now, endpoint, now + for_ms)
-            elif what == "drain":
-                endpoint.is_draining = True
-            elif what in ("gone", "join"):
-                endpoint.is_removed = what == "gone"
-            elif what == "heal":
-                self._heal(now, endpoint)
-        return answers
+    def _fail_calls(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        endpoint.failure_shares[OUTCOMES_BY_FAILURE_FAULT[fault.kind]] = fault.share
+
+    def _reject_calls(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        endpoint.rejection_share = fault.share
 
-    def _pause(self, now, endpoint, until):
+    def _make_destination_unavailable(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        endpoint.destination.unavailable_until = now + fault.duration_ms
+        endpoint.destination.unavailability_has_retry_after = fault.sends_retry_after
+
+    def _slow_down(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        endpoint.service_time_factor = fault.factor
+
+    def _change_rate_limit(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        rate_limit = endpoint.destination.rate_limit
+        rate_limit.rate_per_ms = rate_limit.configured_rate_per_ms * fault.factor
+
+    def _pause(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        until = now + fault.duration_ms
         delay_ms = until - max(now, endpoint.paused_until)
         if delay_ms <= 0:
             return
-        for _, _, call in self.completions:
+        # The heap keeps the former moments, which are all earlier: `advance` moves an entry when it meets it.
+        for completion in self._completions:
+            call = completion.call
             if call.endpoint is endpoint and call.completes_at < math.inf:
                 call.completes_at += delay_ms
         endpoint.paused_until = until
-        # Ends lie in the heap under their old moments and move when those pass: none is early, for all are
-        # later.
-
-    def _heal(self, now, endpoint):
-        destination, was_down = endpoint.destination, endpoint.destination.is_down()
-        endpoint.is_crashed = endpoint.is_silent = endpoint.is_draining = False
-        endpoint.failure_shares, endpoint.rejection_share, endpoint.service_time_factor = {}, 0.0, 1.0
-        destination.unavailable_until, destination.is_overloaded, destination.limit.rate_per_ms = (
-            min(destination.unavailable_until, now),
-            False,
-            destination.limit.configured_rate,
-        )
+
+    def _drain(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        endpoint.is_draining = True
+
+    def _set_removed(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        endpoint.is_removed = fault.kind == FaultKind.REMOVE
+
+    def _heal(self, now: float, endpoint: Endpoint, fault: Fault) -> None:
+        destination = endpoint.destination
+        was_down = destination.is_down()
+        endpoint.is_crashed = False
+        endpoint.is_silent = False
+        endpoint.is_draining = False
+        endpoint.failure_shares = {}
+        endpoint.rejection_share = 0.0
+        endpoint.service_time_factor = 1.0
+        destination.unavailable_until = min(destination.unavailable_until, now)
+        destination.is_overloaded = False
+        destination.rate_limit.rate_per_ms = destination.rate_limit.configured_rate_per_ms
         if was_down and not destination.is_down():
-            destination.recovered_at = now
-            destination.recent_loads.clear()
-            self.on_event(now, "back", destination.number)
+            destination.recover(now)
+            self.observe(DestinationAvailabilityChanged(now, DestinationChange.RECOVERED, destination.number))
+
+    _FaultHandler = Callable[["ReceiverModel", float, Endpoint, Fault], list[Answer] | None]
+    _FAULT_HANDLERS: ClassVar[dict[FaultKind, _FaultHandler]] = {
+        FaultKind.REFUSE_CONNECTIONS: _refuse_connections,
+        FaultKind.GO_SILENT: _go_silent,
+        FaultKind.ERRORS: _fail_calls,
+        FaultKind.RESET_AFTER_REQUEST: _fail_calls,
+        FaultKind.TRUNCATE_RESPONSES: _fail_calls,
+        FaultKind.WITHHOLD_RESPONSES: _fail_calls,
+        FaultKind.REJECT: _reject_calls,
+        FaultKind.DESTINATION_UNAVAILABLE: _make_destination_unavailable,
+        FaultKind.SLOW_DOWN: _slow_down,
+        FaultKind.CHANGE_RATE_LIMIT: _change_rate_limit,
+        FaultKind.PAUSE: _pause,
+        FaultKind.DRAIN: _drain,
+        FaultKind.REMOVE: _set_removed,
+        FaultKind.JOIN: _set_removed,
+        FaultKind.HEAL: _heal,
+    }
--- /dev/null
+++ b/swiftthread/lab/receivers.py
@@ -0,0 +1,198 @@
+"""The state of emulated receivers: destinations, their endpoints, and the calls in flight at them.
+
+All times are ms; moments are those of the caller's clock.
+"""
+
+import math
+import random
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Literal, NamedTuple
+
+from swiftthread.lab.outcomes import CallOutcome
+from swiftthread.lab.rate_limit import RateLimit
+
+# A recovering destination is overloaded only when its load exceeds the budget by more than chance explains.
+OVERLOAD_SLACK_CALLS = 3.0  # calls
+OVERLOAD_SLACK_SIGMAS = 3.0  # standard deviations of a Poisson count: x the square root of the budget
+
+ServiceTimeDistribution = Literal["fixed", "exponential", "lognormal"]
+
+
+def service_time_sampler(
+    distribution: ServiceTimeDistribution, mean_ms: float, cv: float, rng: random.Random
+) -> Callable[[], float]:
+    """Return a function that draws one service time in ms.
+
+    Args:
+        distribution: The shape of the distribution.
+        mean_ms: Its mean.
+        cv: Its coefficient of variation; only the lognormal one takes it.
+        rng: The source of the draws.
+    """
+    if distribution == "fixed":
+        return lambda: mean_ms
+    if distribution == "exponential":
+        return lambda: rng.expovariate(1.0 / mean_ms)
+    sigma = math.sqrt(math.log(1.0 + cv * cv))
+    return lambda: mean_ms * rng.lognormvariate(-sigma * sigma / 2.0, sigma)
+
+
+class LoadSample(NamedTuple):
+    """The load of one call, in calls, and when it came."""
+
+    at: float
+    load: float
+
+
+@dataclass(slots=True, eq=False)
+class Destination:
+    """What the endpoints of a destination share: the rate limit, outages, and the warm-up after one.
+
+    Attributes:
+        number: Its number in the incident.
+        rate_limit: The limit over all its endpoints.
+        cold_capacity_share: The share of its capacity that it has at the moment it recovers, 0 to 1.
+        warm_up_ms: How long it takes to full capacity from then on.
+        overload_multiple: The load, x its capacity while warming up, that brings it down again.
+        overload_window_ms: The window over which that load is counted.
+        sends_retry_after: Whether a call over the rate limit is told when to come back.
+        endpoints: All its endpoints, spare ones too; an `Endpoint` adds itself.
+        recovered_at: When it last recovered from an outage.
+        is_overloaded: Whether it went down by overload and was not healed since.
+        unavailable_until: The moment until which it rejects every call.
+        unavailability_has_retry_after: Whether calls rejected until then are told when to come back.
+    """
+
+    number: int
+    rate_limit: RateLimit
+    cold_capacity_share: float = 1.0
+    warm_up_ms: float = 1.0
+    overload_multiple: float = math.inf
+    overload_window_ms: float = 2000.0
+    sends_retry_after: bool = True
+    endpoints: list["Endpoint"] = field(default_factory=list, init=False)
+    recovered_at: float = field(default=-math.inf, init=False)
+    is_overloaded: bool = field(default=False, init=False)
+    unavailable_until: float = field(default=-math.inf, init=False)
+    unavailability_has_retry_after: bool = field(default=False, init=False)
+    _recent_loads: deque[LoadSample] = field(default_factory=deque, init=False)
+
+    def warmth(self, now: float) -> float:
+        """Return the share of its capacity that it has at `now`, 0 to 1."""
+        warm_up_share = (now - self.recovered_at) / self.warm_up_ms
+        return min(1.0, self.cold_capacity_share + (1.0 - self.cold_capacity_share) * warm_up_share)
+
+    def capacity_per_ms(self) -> float:
+        """Return the calls per ms that it can do when warm."""
+        if self.rate_limit.rate_per_ms:
+            return self.rate_limit.rate_per_ms
+        return sum(
+            endpoint.workers / endpoint.mean_service_ms
+            for endpoint in self.endpoints
+            if not endpoint.is_removed
+        )
+
+    def is_down(self) -> bool:
+        """Return whether none of its endpoints is up."""
+        return all(endpoint.is_down() or endpoint.is_removed for endpoint in self.endpoints)
+
+    def recover(self, now: float) -> None:
+        """Start to warm up: an outage is over."""
+        self.recovered_at = now
+        self._recent_loads.clear()
+
+    def record_load(self, now: float, load: float) -> bool:
+        """Count the load of a call, in calls, whether or not it is admitted.
+
+        Returns:
+            Whether the destination becomes overloaded by it.
+        """
+        if self.is_overloaded or now >= self.recovered_at + self.warm_up_ms:
+            self._recent_loads.clear()
+            return False
+        self._recent_loads.append(LoadSample(now, load))
+        while self._recent_loads[0].at < now - self.overload_window_ms:
+            self._recent_loads.popleft()
+        budget = self.overload_multiple * self.capacity_per_ms() * self.warmth(now) * self.overload_window_ms
+        slack = OVERLOAD_SLACK_CALLS + OVERLOAD_SLACK_SIGMAS * math.sqrt(budget)
+        self.is_overloaded = sum(sample.load for sample in self._recent_loads) > budget + slack
+        return self.is_overloaded
+
+
+@dataclass(slots=True, eq=False)
+class Endpoint:
+    """One endpoint: workers, a bounded queue, a connection table, and the faults that it has at present.
+
+    Attributes:
+        name: Its name in the endpoint list.
+        destination: What it belongs to.
+        zone: Where it stands.
+        workers: Calls that it executes at once.
+        queue_capacity: Calls that may wait for a worker.
+        max_connections: The size of its connection table.
+        draw_service_ms: Draws the service time of one event.
+        mean_service_ms: The mean of those draws.
+        is_removed: It is no longer, or not yet, in service.
+        paused_until: The moment until which its calls make no progress.
+        service_time_factor: What each service time is multiplied by.
+        failure_shares: The share of calls, by outcome, that fail before they reach a worker. Drawn in order.
+        rejection_share: The share of calls that are rejected as rate-limited.
+    """
+
+    name: str
+    destination: Destination
+    zone: str
+    workers: int
+    queue_capacity: int
+    max_connections: int
+    draw_service_ms: Callable[[], float]
+    mean_service_ms: float
+    open_connections: int = field(default=0, init=False)
+    busy_workers: int = field(default=0, init=False)
+    queue: deque["Call"] = field(default_factory=deque, init=False)
+    is_crashed: bool = field(default=False, init=False)
+    is_silent: bool = field(default=False, init=False)
+    is_draining: bool = field(default=False, init=False)
+    is_removed: bool = field(default=False, init=False)
+    paused_until: float = field(default=-math.inf, init=False)
+    service_time_factor: float = field(default=1.0, init=False)
+    failure_shares: dict[CallOutcome, float] = field(default_factory=dict, init=False)
+    rejection_share: float = field(default=0.0, init=False)
+
+    def __post_init__(self) -> None:
+        self.destination.endpoints.append(self)
+
+    def is_down(self) -> bool:
+        """Return whether it answers nothing at all."""
+        return self.is_crashed or self.is_silent
+
+    def has_idle_worker(self) -> bool:
+        """Return whether a call would start at once."""
+        return self.busy_workers < self.workers
+
+
+@dataclass(slots=True, eq=False)
+class Call:
+    """One call in flight.
+
+    Attributes:
+        tag: The driver's number for it.
+        endpoint: Where it arrived.
+        size: The number of events in it.
+        completes_at: When its work ends; infinite while it waits, and once it is over.
+    """
+
+    tag: int
+    endpoint: Endpoint
+    size: int
+    completes_at: float = math.inf
+
+
+class Answer(NamedTuple):
+    """What the driver has to answer to a call, with a Retry-After in ms (0: none)."""
+
+    call: Call
+    outcome: CallOutcome
+    retry_after_ms: float = 0.0
--- a/swiftthread/lab/relay.py
+++ b/swiftthread/lab/relay.py
@@ -1,240 +1,297 @@
-"""Three baselines that run in a node's place.
+"""Baselines that run in a node's place: one attempt, backoff with jitter, an AIMD concurrency limit.
 
-One attempt, exponential backoff with jitter, an AIMD concurrency limit.
-
-They are configured and called like a node, hold events in memory alone and keep of the rules what their
-strategy keeps. They are there to be compared with, never to be run.
+They are configured and called like a node, keep events in memory alone, and keep those of the rules that
+their strategy keeps. They are there to be compared with, never to be deployed.
 """
 
 import asyncio
-import json
-import os
 import random
 import signal
 import time
 from collections import defaultdict
-
-from swiftthread.lab.emulator import HttpServerConnection, encode_response
-from swiftthread.lab.load import HttpClientConnection
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from swiftthread.lab.background_tasks import BackgroundTasks
+from swiftthread.lab.http_client import NO_STATUS, ConnectionPool, HttpClientConnection, HttpReply
+from swiftthread.lab.http_server import HttpRequest, HttpServerConnection, encode_response
+from swiftthread.lab.node_configuration import (
+    ListedEndpoint,
+    NodeConfiguration,
+    StreamProfile,
+    read_configuration,
+    split_address,
+)
+from swiftthread.lab.outcomes import EndpointState, EventOutcome
+from swiftthread.lab.platform_client import PlatformClient
 
 CALL_TIMEOUT_MS = 1500.0  # of a call: a few usual latencies, and no more than the rest of the max age
+MIN_CALL_TIMEOUT_MS = 1.0  # of a call whose max age is over
+MIN_REMAINING_MS = 20.0  # ms before its max age after which an event is not attempted again
+WINDOW_MARGIN_MS = 50.0  # ms by which a retry keeps away from the end of the deduplication window
 BACKOFF_MS = 100.0  # ms of the first backoff; full jitter between 0 and it
 MAX_BACKOFF_MS = 3000.0  # ms of the longest
-DISCOVERY_POLL_INTERVAL_S = 1.0  # between two looks at discovery
+BACKOFF_MULTIPLIER = 2.0  # from one backoff to the next
+DISCOVERY_POLL_INTERVAL_S = 1.0  # s between two polls of discovery, and the timeout of one
 INITIAL_CONCURRENCY_LIMIT = 10.0  # AIMD: calls in flight at a destination at first
 DECREASE_FACTOR = 0.5  # AIMD: share of the limit that a failure leaves
-# Statuses that rule out an execution; any other may have run.
-MAY_HAVE_RUN_BY_STATUS = {429: False, 503: False, 400: False, 410: False, 413: False, 504: False}
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+
+NOT_SENT = -1  # in place of a status: the call reached nobody
+NOT_EXECUTED_STATUSES = frozenset({400, 410, 413, 429, 503, 504})  # after any other it may have been executed
 
 
-def wall_clock_ms():
+def wall_clock_ms() -> float:
+    """Return the present moment, in ms of the wall clock."""
     return time.time() * 1000.0
 
 
+@dataclass(slots=True, eq=False)
 class Event:
-    """What a client submitted, and what its attempts came to."""
-
-    def __init__(self, headers, target, body, profiles):
-        self.event_id, self.key, self.body = headers["x-txn"], headers.get("idempotency-key", ""), body
-        self.stream = profiles[target.lstrip("/").partition("/")[0]]
-        self.subject = target.lstrip("/").partition("/")[2]
-        self.destination = int(headers["x-route-to"].partition("dest=")[2])
-        self.expires_at = wall_clock_ms() + float(headers["x-remaining"].rstrip("m"))
-        self.attempts = 0
-        self.possible_execution = None  # (moment, zone) of the first attempt that may have run
-
-    def remaining_ms(self):
+    """What a client submitted, and what its attempts came to; moments are those of the wall clock, in ms.
+
+    Attributes:
+        attempts: Attempts so far.
+        possibly_executed_at: When the first attempt began that may have been executed.
+    """
+
+    event_id: str
+    key: str
+    body: bytes
+    stream: StreamProfile
+    destination: int
+    expires_at: float
+    attempts: int = 0
+    possibly_executed_at: float | None = None
+
+    @classmethod
+    def parse(cls, request: HttpRequest, profiles: Mapping[str, StreamProfile]) -> "Event":
+        """Return the event that a request submits.
+
+        Raises:
+            KeyError: A header field is missing, or there is no such stream type.
+            ValueError: A header field is malformed.
+        """
+        headers = request.headers
+        stream_name, _, _ = request.target.lstrip("/").partition("/")
+        return cls(
+            event_id=headers["x-txn"],
+            key=headers.get("idempotency-key", ""),
+            body=request.body,
+            stream=profiles[stream_name],
+            destination=int(headers["x-route-to"].partition("dest=")[2]),
+            expires_at=wall_clock_ms() + float(headers["x-remaining"].rstrip("m")),
+        )
+
+    def remaining_ms(self) -> float:
+        """Return the ms until its max age."""
         return self.expires_at - wall_clock_ms()
 
-    def may_retry(self):
-        """Whether another send, or handing it back, can do no harm."""
-        if self.possible_execution is None or self.stream["Effect"] == "retryable":
+    def may_retry(self) -> bool:
+        """Return whether another attempt, or handing it back, can do no harm."""
+        if self.possibly_executed_at is None or self.stream.effect == "retryable":
             return True
-        window = 1000.0 * self.stream.get("Window", 0.0)
         return (
-            self.stream["Effect"] == "dedup"
-            and self.stream["Group"] == "all"
-            and wall_clock_ms() < self.possible_execution[0] + window - 50.0
+            self.stream.effect == "dedup"
+            and self.stream.group == "all"
+            and wall_clock_ms() < self.possibly_executed_at + self.stream.window_ms - WINDOW_MARGIN_MS
         )
 
+    def has_time_left(self) -> bool:
+        """Return whether another attempt has a chance before the max age."""
+        return self.remaining_ms() > MIN_REMAINING_MS
+
+
+class IngressReply(NamedTuple):
+    """The status that a client is answered with, and the event to deliver if there is one."""
+
+    status: int
+    event: Event | None = None
+
+
+class AttemptResult(NamedTuple):
+    """The status of an attempt, `NO_STATUS` or `NOT_SENT`, and its Retry-After in ms (0: none)."""
+
+    status: int
+    retry_after_ms: float = 0.0
+
+    def is_acked(self) -> bool:
+        """Return whether the endpoint acknowledged the event."""
+        return self.status == 200
+
 
 class IngressConnection(HttpServerConnection):
-    def __init__(self, node):
-        self.node = node
+    """A connection of a client."""
+
+    def __init__(self, node: "SingleAttemptNode") -> None:
+        super().__init__()
+        self._node = node
 
-    def on_request(self, method, first_byte_at):
-        if method == "GET":
+    def on_request(self, request: HttpRequest) -> None:
+        """Answer a health check, or a submission whose event is delivered from then on."""
+        if request.method == "GET":
             self.transport.write(encode_response(200))
             return
-        status, event = self.node.accept(self.headers, self.target, bytes(self.body))
+        status, event = self._node.accept(request)
         self.transport.write(encode_response(status))
         if event is not None:
-            self.node.start(event)
+            self._node.start(event)
 
 
 class SingleAttemptNode:
-    """One attempt for each event. Others derive from it by `strategy`."""
-
-    def __init__(self, configuration, seed):
-        self.configuration, self.rng = configuration, random.Random(seed)
-        settings = configuration["settings"]
-        self.profiles = {row["Name"]: row for row in settings["Profiles"]}
-        self.max_attempts, self.capacity = (
-            settings["Permissions"]["TryLimit"],
-            settings["Permissions"]["MaxOpen"],
-        )
-        self.destinations, self.idle, self.tasks = defaultdict(list), defaultdict(list), set()
-        self.pending, self.round_robin = {}, defaultdict(int)
-        self.update_endpoints(configuration["known"])
+    """One attempt for each event. Others derive from it by `deliver`.
 
-    def update_endpoints(self, endpoint_list):
-        self.destinations.clear()
-        for row in endpoint_list["servers"]:
-            if row["state"] == "SERVING":
-                host, _, port = row["addr"].rpartition(":")
-                self.destinations[row["cell"]].append((row["id"], row["zone"], host, int(port)))
+    Attributes:
+        destinations: The endpoints in service of each destination.
+    """
 
-    def spawn(self, coroutine):
-        task = asyncio.ensure_future(coroutine)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+    def __init__(self, configuration: NodeConfiguration) -> None:
+        self.max_attempts = configuration.max_attempts
+        self.rng = random.Random(configuration.seed)
+        self.destinations: dict[int, list[ListedEndpoint]] = defaultdict(list)
+        self._listen_address = configuration.listen
+        self._profiles = configuration.profiles
+        self._max_pending = configuration.max_pending
+        self._pending: dict[str, Event] = {}
+        self._platform = PlatformClient(configuration.discovery)
+        self._pools: dict[ListedEndpoint, ConnectionPool] = {}
+        self._round_robin: dict[int, int] = defaultdict(int)
+        self._tasks = BackgroundTasks()
+        self._update_endpoints(configuration.endpoints)
+
+    def _update_endpoints(self, endpoints: list[ListedEndpoint]) -> None:
+        self.destinations.clear()
+        for endpoint in endpoints:
+            if endpoint.state == EndpointState.SERVING:
+                self.destinations[endpoint.destination].append(endpoint)
 
-    def accept(self, headers, target, body):
+    def accept(self, request: HttpRequest) -> IngressReply:
+        """Accept or reject a submission."""
         try:
-            event = Event(headers, target, body, self.profiles)
+            event = Event.parse(request, self._profiles)
         except (KeyError, ValueError):
-            return 400, None
-        if event.event_id in self.pending:
-            return 202, None
-        if len(self.pending) >= self.capacity:
-            return 503, None
-        self.pending[event.event_id] = event
-        return 202, event
-
-    def start(self, event):
-        self.spawn(self._deliver(event))
-
-    async def _deliver(self, event):
-        outcome = await self.strategy(event)
-        self.pending.pop(event.event_id, None)
-        if outcome:
-            await self.notify({"message": event.event_id, "outcome": outcome})
-
-    def final_outcome(self, event):
-        """How an event that is given up is answered."""
-        return "handed_back" if event.may_retry() else "given_up"
-
-    async def strategy(self, event):
-        status, _ = await self.send(event)
-        return None if status == 200 else self.final_outcome(event)
-
-    def pick_endpoint(self, event):
-        rows = self.destinations.get(event.destination)
-        if not rows:
+            return IngressReply(400)
+        if event.event_id in self._pending:
+            return IngressReply(202)
+        if len(self._pending) >= self._max_pending:
+            return IngressReply(503)
+        self._pending[event.event_id] = event
+        return IngressReply(202, event)
+
+    def start(self, event: Event) -> None:
+        """Deliver an event in the background and notify the platform of its outcome."""
+        self._tasks.spawn(self._deliver_and_notify(event))
+
+    async def _deliver_and_notify(self, event: Event) -> None:
+        outcome = await self.deliver(event)
+        self._pending.pop(event.event_id, None)
+        if outcome is not None:
+            await self.notify(event, outcome)
+
+    async def deliver(self, event: Event) -> EventOutcome | None:
+        """Make the attempts for an event; return its outcome unless it was acknowledged."""
+        result = await self.send(event)
+        return None if result.is_acked() else self.final_outcome(event)
+
+    def final_outcome(self, event: Event) -> EventOutcome:
+        """Return the outcome of an event that gets no further attempt."""
+        return EventOutcome.HANDED_BACK if event.may_retry() else EventOutcome.GIVEN_UP
+
+    async def notify(self, event: Event, outcome: EventOutcome) -> None:
+        """Notify the platform of an event's outcome."""
+        await self._platform.notify(event.event_id, outcome)
+
+    def _pick_endpoint(self, event: Event) -> ListedEndpoint | None:
+        endpoints = self.destinations.get(event.destination)
+        if not endpoints:
             return None
-        self.round_robin[event.destination] += 1
-        return rows[self.round_robin[event.destination] % len(rows)]
+        self._round_robin[event.destination] += 1
+        return endpoints[self._round_robin[event.destination] % len(endpoints)]
 
-    async def send(self, event):
-        """(status, Retry-After in ms) of one attempt; 0: it may have run, -1: it reached nobody."""
-        endpoint = self.pick_endpoint(event)
+    async def send(self, event: Event) -> AttemptResult:
+        """Make one attempt, and note on the event whether it may have been executed."""
+        endpoint = self._pick_endpoint(event)
         if endpoint is None:
-            return -1, 0.0
+            return AttemptResult(NOT_SENT)
         event.attempts += 1
         started_at = wall_clock_ms()
-        status, headers = await self.call(event, endpoint)
-        if status > 0 and not MAY_HAVE_RUN_BY_STATUS.get(status, True) or status in (-1, 200):
-            return status, 1000.0 * float((headers or {}).get("retry-after", 0))
-        event.possible_execution = event.possible_execution or (started_at, endpoint[1])
-        return status, 0.0
-
-    async def call(self, event, endpoint):
-        connection, idle = None, self.idle[endpoint]
+        reply = await self.call(event, endpoint)
+        if reply.status in NOT_EXECUTED_STATUSES or reply.status in (NOT_SENT, 200):
+            return AttemptResult(reply.status, 1000.0 * float(reply.headers.get("retry-after", 0)))
+        if event.possibly_executed_at is None:
+            event.possibly_executed_at = started_at
+        return AttemptResult(reply.status)
+
+    async def call(self, event: Event, endpoint: ListedEndpoint) -> HttpReply:
+        """Call an endpoint; return its reply, or one of status `NO_STATUS` or `NOT_SENT`."""
+        connection: HttpClientConnection | None = None
+        timeout_ms = max(MIN_CALL_TIMEOUT_MS, min(CALL_TIMEOUT_MS, event.remaining_ms()))
         try:
-            async with asyncio.timeout(max(1.0, min(CALL_TIMEOUT_MS, event.remaining_ms())) / 1000.0):
-                while connection is None or connection.transport.is_closing():
-                    connection = idle.pop() if idle else await self.connect(endpoint)
-                key = f"Idempotency-Key: {event.key}\r\n" if event.key else ""
-                status, headers = await connection.request(
-                    f"POST /receive HTTP/1.1\r\nHost: endpoint\r\nX-Txn: {event.event_id}\r\n{key}"
-                    f"Content-Length: {len(event.body)}\r\n\r\n".encode()
-                    + event.body
-                )
-            return status, headers
+            async with asyncio.timeout(timeout_ms / 1000.0):
+                connection = await self._pool(endpoint).acquire()
+                return await connection.request(_encode_call(event))
         except TimeoutError:
             if connection is None:
-                return -1, None
+                return HttpReply(NOT_SENT, {})
             connection.abort()
-            return 0, None
+            return HttpReply(NO_STATUS, {})
         except OSError:
-            return -1, None
+            return HttpReply(NOT_SENT, {})
 
-    async def connect(self, endpoint):
-        _, connection = await asyncio.get_running_loop().create_connection(
-            lambda: HttpClientConnection(self.idle[endpoint]), *endpoint[2:]
-        )
-        return connection
+    def _pool(self, endpoint: ListedEndpoint) -> ConnectionPool:
+        if endpoint not in self._pools:
+            self._pools[endpoint] = ConnectionPool(endpoint.host, endpoint.port)
+        return self._pools[endpoint]
 
-    async def request_platform(self, data):
-        host, _, port = self.configuration["discovery"].rpartition(":")
-        reader, writer = await asyncio.open_connection(host, int(port))
-        try:
-            writer.write(data)
-            head = await reader.readuntil(b"\r\n\r\n")
-            length = int(head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0])
-            return await reader.readexactly(length)
-        finally:
-            writer.close()
-
-    async def notify(self, row):
-        body = json.dumps(row).encode()
-        for _ in range(5):
-            try:
-                await self.request_platform(
-                    b"POST /status HTTP/1.1\r\nHost: p\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-                )
-                return
-            except (OSError, EOFError):
-                await asyncio.sleep(0.1)
-
-    async def follow_discovery(self):
+    async def follow_discovery(self) -> None:
+        """Poll the endpoint list, forever."""
         while True:
             try:
                 async with asyncio.timeout(DISCOVERY_POLL_INTERVAL_S):
-                    self.update_endpoints(
-                        json.loads(
-                            await self.request_platform(b"GET /catalog/members HTTP/1.1\r\nHost: p\r\n\r\n")
-                        )
-                    )
+                    self._update_endpoints(await self._platform.fetch_endpoints())
             except (OSError, EOFError, TimeoutError, ValueError):
-                pass
+                pass  # the list stays as it was until the next poll
             await asyncio.sleep(DISCOVERY_POLL_INTERVAL_S)
 
-    async def serve(self):
-        loop, terminated = asyncio.get_running_loop(), asyncio.Event()
+    async def serve(self) -> None:
+        """Serve until SIGTERM."""
+        loop = asyncio.get_running_loop()
+        terminated = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, terminated.set)
-        host, _, port = self.configuration["listen"].rpartition(":")
-        server = await loop.create_server(lambda: IngressConnection(self), host, int(port), backlog=1024)
-        self.spawn(self.follow_discovery())
+        host, port = split_address(self._listen_address)
+        server = await loop.create_server(lambda: IngressConnection(self), host, port, backlog=LISTEN_BACKLOG)
+        self._tasks.spawn(self.follow_discovery())
         await terminated.wait()
         server.close()
 
 
-class BackoffNode(SingleAttemptNode):
-    """Fixed retry with exponential backoff and full jitter.
+def _encode_call(event: Event) -> bytes:
+    key = f"Idempotency-Key: {event.key}\r\n" if event.key else ""
+    head = (
+        "POST /receive HTTP/1.1\r\n"
+        "Host: endpoint\r\n"
+        f"X-Txn: {event.event_id}\r\n"
+        f"{key}"
+        f"Content-Length: {len(event.body)}\r\n"
+        "\r\n"
+    )
+    return head.encode() + event.body
 
-    A Retry-After lengthens the backoff of the event that got it.
-    """
 
-    async def strategy(self, event):
+class BackoffNode(SingleAttemptNode):
+    """Retries with exponential backoff and full jitter; a Retry-After lengthens the backoff of its event."""
+
+    async def deliver(self, event: Event) -> EventOutcome | None:
+        """Make attempts until one is acknowledged or another may do harm or come late."""
         backoff_ms = BACKOFF_MS
-        while event.attempts < self.max_attempts and event.remaining_ms() > 20.0:
-            status, retry_after_ms = await self.send(event)
-            if status == 200:
+        while event.attempts < self.max_attempts and event.has_time_left():
+            result = await self.send(event)
+            if result.is_acked():
                 return None
-            delay_ms = max(retry_after_ms, self.rng.uniform(0.0, backoff_ms))
-            backoff_ms = min(2.0 * backoff_ms, MAX_BACKOFF_MS)
-            if not event.may_retry() or delay_ms > event.remaining_ms() - 20.0:
+            delay_ms = max(result.retry_after_ms, self.rng.uniform(0.0, backoff_ms))
+            backoff_ms = min(BACKOFF_MULTIPLIER * backoff_ms, MAX_BACKOFF_MS)
+            if not event.may_retry() or delay_ms > event.remaining_ms() - MIN_REMAINING_MS:
                 break
             await asyncio.sleep(delay_ms / 1000.0)
             if not event.may_retry():
@@ -242,50 +299,64 @@
         return self.final_outcome(event)
 
 
+@dataclass(slots=True)
+class ConcurrencyLimiter:
+    """An additive-increase, multiplicative-decrease limit on the calls in flight at a destination."""
+
+    limit: float = INITIAL_CONCURRENCY_LIMIT
+    in_flight: int = 0
+    _freed: asyncio.Event = field(default_factory=asyncio.Event, init=False)
+
+    async def wait_for_capacity(self) -> None:
+        """Wait until there are fewer calls in flight than the limit."""
+        while self.in_flight >= self.limit:
+            self._freed.clear()
+            await self._freed.wait()
+
+    def release(self, *, is_acked: bool) -> None:
+        """End a call in flight: its result raises or lowers the limit."""
+        self.in_flight -= 1
+        if is_acked:
+            self.limit += 1.0 / self.limit
+        else:
+            self.limit = max(1.0, self.limit * DECREASE_FACTOR)
+        self._freed.set()
+
+
 class AimdNode(SingleAttemptNode):
-    """A concurrency limit for each destination.
+    """Retries after a short backoff, under a concurrency limit for each destination."""
 
-    One more by a limit's worth of acks, half at a refusal or a fault.
-    """
+    def __init__(self, configuration: NodeConfiguration) -> None:
+        super().__init__(configuration)
+        self._limiters: dict[int, ConcurrencyLimiter] = defaultdict(ConcurrencyLimiter)
 
-    def __init__(self, configuration, seed):
-        super().__init__(configuration, seed)
-        self.limit, self.in_flight = defaultdict(lambda: INITIAL_CONCURRENCY_LIMIT), defaultdict(int)
-        self.capacity_freed = defaultdict(asyncio.Event)
-
-    async def strategy(self, event):
-        destination = event.destination
-        while event.attempts < self.max_attempts and event.remaining_ms() > 20.0 and event.may_retry():
-            while self.in_flight[destination] >= self.limit[destination]:
-                self.capacity_freed[destination].clear()
-                try:
-                    async with asyncio.timeout(max(0.0, event.remaining_ms() - 20.0) / 1000.0):
-                        await self.capacity_freed[destination].wait()
-                except TimeoutError:
-                    return self.final_outcome(event)
+    async def deliver(self, event: Event) -> EventOutcome | None:
+        """Make attempts until one is acknowledged or another may do harm or come late."""
+        limiter = self._limiters[event.destination]
+        while event.attempts < self.max_attempts and event.has_time_left() and event.may_retry():
+            patience_ms = max(0.0, event.remaining_ms() - MIN_REMAINING_MS)
+            try:
+                async with asyncio.timeout(patience_ms / 1000.0):
+                    await limiter.wait_for_capacity()
+            except TimeoutError:
+                break
             if not event.may_retry():
                 break
-            self.in_flight[destination] += 1
-            status, retry_after_ms = await self.send(event)
-            self.in_flight[destination] -= 1
-            self.limit[destination] = (
-                self.limit[destination] + 1.0 / self.limit[destination]
-                if status == 200
-                else max(1.0, self.limit[destination] * DECREASE_FACTOR)
-            )
-            self.capacity_freed[destination].set()
-            if status == 200:
+            limiter.in_flight += 1
+            result = await self.send(event)
+            limiter.release(is_acked=result.is_acked())
+            if result.is_acked():
                 return None
-            if not event.may_retry() or retry_after_ms > event.remaining_ms() - 20.0:
+            if not event.may_retry() or result.retry_after_ms > event.remaining_ms() - MIN_REMAINING_MS:
                 break
-            await asyncio.sleep(max(retry_after_ms, self.rng.uniform(0.0, BACKOFF_MS)) / 1000.0)
+            delay_ms = max(result.retry_after_ms, self.rng.uniform(0.0, BACKOFF_MS))
+            await asyncio.sleep(delay_ms / 1000.0)
         return self.final_outcome(event)
 
 
 NODE_KINDS = {"once": SingleAttemptNode, "backoff": BackoffNode, "aimd": AimdNode}
 
 
-def main(kind):
-    with open(os.environ["LB_CONFIG"], encoding="utf-8") as source:
-        configuration = json.load(source)
-    asyncio.run(kind(configuration, configuration["seed"]).serve())
+def main(kind: type[SingleAttemptNode]) -> None:
+    """Run a baseline, configured by the environment, until SIGTERM."""
+    asyncio.run(kind(read_configuration()).serve())
--- a/swiftthread/lab/run_records.py
+++ b/swiftthread/lab/run_records.py
@@ -1,19 +1,26 @@
-"""What happened in a run, as rows that the emulator and the clients write and the referee reads.
+"""What happened in a run, as records that the emulator and the clients write and the referee reads.
 
-One JSON line a row. Moments are ms of the machine's monotonic clock, one for all processes of a run.
+A record is one JSON line. Moments are ms of the machine's monotonic clock, one for all processes of a run.
 """
 
 import time
+from pathlib import Path
 
 import msgspec
 
+from swiftthread.lab.outcomes import CallOutcome, DestinationChange, EndpointState
 
-def monotonic_ms():
-    """Now, on that clock."""
+FLUSH_THRESHOLD_BYTES = 1 << 18  # bytes that a writer keeps before it writes them: what a crash may lose
+
+
+def monotonic_ms() -> float:
+    """Return the present moment on that clock."""
     return time.monotonic() * 1000.0
 
 
 class RunRecord(msgspec.Struct, tag_field="row"):
+    """What all records have: the moment at which it happened."""
+
     at: float
 
 
@@ -58,10 +65,10 @@
 
 
 class ReplySent(RunRecord, tag="reply_sent"):
-    """What was written to a call. `states`: by event, for a call of several that was done."""
+    """What was answered to a call."""
 
     call: int
-    outcome: str
+    outcome: CallOutcome
     retry_after_ms: float = 0.0
 
 
@@ -72,6 +79,8 @@
 
 
 class HealthCheckReceived(RunRecord, tag="health_check_received"):
+    """A health check arrived at an endpoint."""
+
     endpoint: str
     destination: int
 
@@ -81,10 +90,12 @@
 
     node: str
     endpoint: str
-    state: str
+    state: EndpointState
 
 
 class NotificationReceived(RunRecord, tag="notification_received"):
+    """A node notified the platform of an event's outcome, in its own word (see `EventOutcome`)."""
+
     node: str
     event_id: str
     outcome: str
@@ -95,7 +106,7 @@
     """A destination went down, recovered or was overloaded. `capacity`: calls per ms when warm."""
 
     destination: int
-    change: str
+    change: DestinationChange
     capacity: float = 0.0
 
 
@@ -144,36 +155,48 @@
     | EventLoopLagged
     | LatencyHistogramRecorded
 )
-_encoder, _decoder = msgspec.json.Encoder(), msgspec.json.Decoder(AnyRecord)
+_encoder = msgspec.json.Encoder()
+_decoder = msgspec.json.Decoder(AnyRecord)
 
 
 class RecordWriter:
-    """Writer of one file of records; written in pieces, so that a crash loses the last piece at most."""
+    """Writer of one file of records.
+
+    It writes large pieces; a crash loses the last one at most.
+    """
 
-    def __init__(self, path):
-        self.file, self.pending_bytes = open(path, "wb"), bytearray()
+    def __init__(self, path: str | Path) -> None:
+        self._file = open(path, "wb")  # noqa: SIM115  # open as long as the writer
+        self._pending = bytearray()
 
-    def write(self, row):
-        self.pending_bytes += _encoder.encode(row)
-        self.pending_bytes += b"\n"
-        if len(self.pending_bytes) > 1 << 18:
+    def write(self, record: RunRecord) -> None:
+        """Add a record."""
+        self._pending += _encoder.encode(record)
+        self._pending += b"\n"
+        if len(self._pending) > FLUSH_THRESHOLD_BYTES:
             self.flush()
 
-    def flush(self):
-        self.file.write(self.pending_bytes)
-        self.file.flush()
-        self.pending_bytes.clear()
+    def flush(self) -> None:
+        """Write all records added so far to the file."""
+        self._file.write(self._pending)
+        self._file.flush()
+        self._pending.clear()
 
-    def close(self):
+    def close(self) -> None:
+        """Flush, and close the file."""
         self.flush()
-        self.file.close()
+        self._file.close()
 
 
-def read_records(*paths):
-    """All rows of these files in the order of their moments."""
-    rows = []
+def read_records(*paths: str | Path) -> list[AnyRecord]:
+    """Return all records of these files in the order of their moments; a line cut short is left out.
+
+    Raises:
+        msgspec.ValidationError: A line is no record.
+    """
+    records: list[AnyRecord] = []
     for path in paths:
         with open(path, "rb") as source:
-            rows += [_decoder.decode(line) for line in source if line.endswith(b"\n")]
-    rows.sort(key=lambda row: row.at)
-    return rows
+            records += [_decoder.decode(line) for line in source if line.endswith(b"\n")]
+    records.sort(key=lambda record: record.at)
+    return records
--- a/tests/lab/test_receiver_model.py
+++ b/tests/lab/test_receiver_model.py
@@ -10,26 +10,32 @@
 
 import pytest
 
-from swiftthread.lab import receiver_model
+from swiftthread.lab.faults import Fault, FaultKind
+from swiftthread.lab.outcomes import DestinationChange
+from swiftthread.lab.rate_limit import RateLimit
+from swiftthread.lab.receiver_model import CallArrived, DestinationAvailabilityChanged, ReceiverModel
+from swiftthread.lab.receivers import Destination, Endpoint, service_time_sampler
 
 WITHIN = 0.03  # of the theory's figure
+REFUSE_CONNECTIONS = Fault(FaultKind.REFUSE_CONNECTIONS)
+HEAL = Fault(FaultKind.HEAL)
 
 
 def build_receiver(rng, *, workers=1, queue=10**9, kind="exponential", mean=10.0, rate=0.0, cold=1.0, **more):
-    destination = receiver_model.Destination(1, receiver_model.RateLimit(rate, **more), cold, 1000.0)
-    receivers = receiver_model.ReceiverModel(rng)
-    return receivers, receivers.add(
-        receiver_model.Endpoint(
-            "d1-0",
-            destination,
-            "east",
-            workers,
-            queue,
-            10**9,
-            receiver_model.service_time_sampler(kind, mean, 1.0, rng),
-            mean,
-        )
+    """A model of one endpoint, and that endpoint; `more` goes to its destination's rate limit."""
+    destination = Destination(1, RateLimit(rate, **more), cold, 1000.0)
+    receivers = ReceiverModel(rng)
+    endpoint = Endpoint(
+        name="d1-0",
+        destination=destination,
+        zone="east",
+        workers=workers,
+        queue_capacity=queue,
+        max_connections=10**9,
+        draw_service_ms=service_time_sampler(kind, mean, 1.0, rng),
+        mean_service_ms=mean,
     )
+    return receivers, receivers.add(endpoint)
 
 
 def waits_at(load, calls, seed=20, **more):
@@ -84,7 +90,7 @@
 
 
 def test_lognormal_service_has_its_mean_and_spread():
-    draw = receiver_model.service_time_sampler("lognormal", 20.0, 1.4, random.Random(3))
+    draw = service_time_sampler("lognormal", 20.0, 1.4, random.Random(3))
     values = [draw() for _ in range(200_000)]
     mean = sum(values) / len(values)
     cv = math.sqrt(sum((v - mean) ** 2 for v in values) / len(values)) / mean
@@ -108,7 +114,7 @@
 
 def test_refusals_may_use_the_limit_up():
     kept, used = (
-        build_receiver(random.Random(1), workers=50, rate=10.0, span_ms=1000.0, refusals_use=use)
+        build_receiver(random.Random(1), workers=50, rate=10.0, window_ms=1000.0, counts_rejections=use)
         for use in (False, True)
     )
     moments = [float(at) for at in range(0, 1000, 50)]
@@ -116,7 +122,8 @@
         outcomes = Counter(outcome for outcome, _ in outcomes_at(receivers, endpoint, moments))
         assert outcomes == {"in": 10, "full": 10}
     smooth_kept, smooth_used = (
-        build_receiver(random.Random(1), workers=50, rate=10.0, refusals_use=use) for use in (False, True)
+        build_receiver(random.Random(1), workers=50, rate=10.0, counts_rejections=use)
+        for use in (False, True)
     )
     counts = [
         sum(outcome == "in" for outcome, _ in outcomes_at(*pair, [float(at) for at in range(0, 5000, 50)]))
@@ -126,7 +133,7 @@
 
 
 def test_waits_in_a_span_end_with_it():
-    receivers, endpoint = build_receiver(random.Random(1), workers=50, rate=2.0, span_ms=1000.0)
+    receivers, endpoint = build_receiver(random.Random(1), workers=50, rate=2.0, window_ms=1000.0)
     assert outcomes_at(receivers, endpoint, [0.0, 1.0, 400.0, 1000.0])[2:] == [("full", 600.0), ("in", 0.0)]
 
 
@@ -142,58 +149,67 @@
 
 def test_a_pause_moves_every_end_and_keeps_their_order():
     receivers, endpoint = build_receiver(random.Random(1), workers=2, kind="fixed")
-    first, _ = receivers.arrive(0.0, endpoint, "a")
-    second, _ = receivers.arrive(4.0, endpoint, "b")
-    receivers.apply(5.0, "pause", [endpoint], for_ms=100.0)
-    third, _ = receivers.arrive(6.0, endpoint, "c")
+    first, _ = receivers.arrive(0.0, endpoint, 1)
+    second, _ = receivers.arrive(4.0, endpoint, 2)
+    receivers.apply(5.0, Fault(FaultKind.PAUSE, duration_ms=100.0), [endpoint])
+    third, _ = receivers.arrive(6.0, endpoint, 3)
     assert receivers.advance(109.9) == []
     assert [(a.call.tag, a.outcome) for a in receivers.advance(200.0)] == [
-        ("a", "done"),
-        ("b", "done"),
-        ("c", "done"),
+        (1, "done"),
+        (2, "done"),
+        (3, "done"),
     ]
     assert endpoint.busy_workers == 0 and receivers.next_completion_at() == math.inf
 
 
 def test_a_death_ends_what_it_held_and_none_of_it_comes_later():
     receivers, endpoint = build_receiver(random.Random(1), kind="fixed")
-    for tag in "abc":
+    for tag in (1, 2, 3):
         receivers.arrive(0.0, endpoint, tag)
-    assert [(a.call.tag, a.outcome) for a in receivers.apply(5.0, "refuse", [endpoint])] == [
-        ("a", "reset"),
-        ("b", "reset"),
-        ("c", "reset"),
+    answers = receivers.apply(5.0, REFUSE_CONNECTIONS, [endpoint])
+    assert [(a.call.tag, a.outcome) for a in answers] == [
+        (1, "reset"),
+        (2, "reset"),
+        (3, "reset"),
     ]
     assert not receivers.open_connection(endpoint)
-    receivers.apply(50.0, "heal", [endpoint])
+    receivers.apply(50.0, HEAL, [endpoint])
     assert (
         receivers.advance(500.0) == [] and receivers.open_connection(endpoint) and endpoint.busy_workers == 0
     )
 
 
 def test_warmth_after_a_return_and_the_fall():
-    rng, rows = random.Random(1), []
-    receivers, endpoint = build_receiver(rng, workers=50, kind="fixed", rate=20.0, cold=0.2)
-    receivers.on_event = lambda at, what, *words: rows.append(what)
+    events = []
+    receivers, endpoint = build_receiver(random.Random(1), workers=50, kind="fixed", rate=20.0, cold=0.2)
+    receivers.observe = events.append
     destination = endpoint.destination
-    destination.overload_multiple, destination.fall_ms = 2.0, 500.0
-    receivers.apply(0.0, "refuse", [endpoint])
-    receivers.apply(1000.0, "heal", [endpoint])
-    assert destination.warmth(1000.0) == pytest.approx(0.2) and destination.warmth(1500.0) == pytest.approx(
-        0.6
-    )
+    destination.overload_multiple = 2.0
+    destination.overload_window_ms = 500.0
+    receivers.apply(0.0, REFUSE_CONNECTIONS, [endpoint])
+    receivers.apply(1000.0, HEAL, [endpoint])
+    assert destination.warmth(1000.0) == pytest.approx(0.2)
+    assert destination.warmth(1500.0) == pytest.approx(0.6)
     outcomes = [
         outcome for outcome, _ in outcomes_at(receivers, endpoint, [1000.0 + 5.0 * n for n in range(30)])
     ]
-    assert "falls" in rows and outcomes[-1] == "reset" and endpoint.is_crashed
-    assert 8 <= rows[: rows.index("falls")].count("arrives") <= 20
+    changes = [event.change for event in events if isinstance(event, DestinationAvailabilityChanged)]
+    assert changes == [DestinationChange.RECOVERED, DestinationChange.OVERLOADED]
+    assert outcomes[-1] == "reset" and endpoint.is_crashed
+    overloaded = next(
+        index
+        for index, event in enumerate(events)
+        if isinstance(event, DestinationAvailabilityChanged) and event.change == DestinationChange.OVERLOADED
+    )
+    assert 8 <= sum(isinstance(event, CallArrived) for event in events[:overloaded]) <= 20
 
 
 def test_no_fall_within_the_budget_nor_once_warm():
     receivers, endpoint = build_receiver(random.Random(1), workers=50, kind="fixed", rate=20.0, cold=0.2)
-    endpoint.destination.overload_multiple, endpoint.destination.fall_ms = 2.0, 500.0
-    receivers.apply(0.0, "refuse", [endpoint])
-    receivers.apply(1000.0, "heal", [endpoint])
+    endpoint.destination.overload_multiple = 2.0
+    endpoint.destination.overload_window_ms = 500.0
+    receivers.apply(0.0, REFUSE_CONNECTIONS, [endpoint])
+    receivers.apply(1000.0, HEAL, [endpoint])
     outcomes_at(receivers, endpoint, [1000.0 + 100.0 * n for n in range(10)])
     outcomes_at(receivers, endpoint, [2001.0 + n for n in range(200)])
     assert not endpoint.destination.is_overloaded and not endpoint.is_crashed
@@ -209,29 +225,41 @@
 
 SEEDED_SCRIPT = """
 import json, random, sys
-from swiftthread.lab import receiver_model
-rng, rows = random.Random(99), []
-receivers = receiver_model.ReceiverModel(rng, lambda *row: rows.append(row))
+from swiftthread.lab.faults import Fault, FaultKind
+from swiftthread.lab.rate_limit import RateLimit
+from swiftthread.lab.receiver_model import ReceiverModel
+from swiftthread.lab.receivers import Destination, Endpoint, service_time_sampler
+
+rng, events = random.Random(99), []
+receivers = ReceiverModel(rng, events.append)
 endpoints = []
 for number in range(3):
-    limit = receiver_model.RateLimit(50.0, 1000.0 * (number == 1), refusals_use=number == 2)
-    destination = receiver_model.Destination(number, limit, 0.2, 900.0, 2.0)
+    limit = RateLimit(50.0, 1000.0 * (number == 1), counts_rejections=number == 2)
+    destination = Destination(number, limit, 0.2, 900.0, 2.0)
     for at in range(2):
-        service = receiver_model.service_time_sampler("lognormal", 20.0, 1.2, rng)
-        endpoint = receiver_model.Endpoint(f"d{number}-{at}", destination, "east", 2, 4, 9, service, 20.0)
+        service = service_time_sampler("lognormal", 20.0, 1.2, rng)
+        endpoint = Endpoint(f"d{number}-{at}", destination, "east", 2, 4, 9, service, 20.0)
         endpoints.append(receivers.add(endpoint))
 now = 0.0
 for number in range(6000):
     now += rng.expovariate(0.2)
     receivers.advance(now)
     if number % 500 == 100:
-        fault = rng.choice(["refuse", "vanish", "errors", "slow", "swallow"])
-        receivers.apply(now, fault, endpoints[:2], 0.4, 0.0, 3.0)
+        kind = rng.choice(
+            [
+                FaultKind.REFUSE_CONNECTIONS,
+                FaultKind.GO_SILENT,
+                FaultKind.ERRORS,
+                FaultKind.SLOW_DOWN,
+                FaultKind.WITHHOLD_RESPONSES,
+            ]
+        )
+        receivers.apply(now, Fault(kind, share=0.4, factor=3.0), endpoints[:2])
     if number % 500 == 300:
-        receivers.apply(now, "heal", endpoints)
-        receivers.apply(now, "pause", endpoints[2:3], for_ms=300.0)
+        receivers.apply(now, Fault(FaultKind.HEAL), endpoints)
+        receivers.apply(now, Fault(FaultKind.PAUSE, duration_ms=300.0), endpoints[2:3])
     receivers.arrive(now, rng.choice(endpoints), number)
-sys.stdout.write(json.dumps(rows))
+sys.stdout.write(json.dumps([[type(event).__name__, *event] for event in events]))
 """
 
 
@@ -246,5 +274,9 @@
         for seed in (0, 1, 2)
     ]
     assert len({hashlib.sha256(run).hexdigest() for run in runs}) == 1
-    kinds = Counter(row[1] for row in json.loads(runs[0]))
-    assert {"arrives", "done", "full", "error", "shut", "reset", "refuse", "heal"} <= set(kinds)
+    kinds = {(event, kind) for event, _, kind, *_ in json.loads(runs[0])}
+    assert {"done", "full", "error", "shut", "reset"} <= {
+        kind for event, kind in kinds if event == "CallEnded"
+    }
+    assert {"refuse", "heal"} <= {kind for event, kind in kinds if event == "FaultApplied"}
+    assert "CallArrived" in {event for event, _ in kinds}
