--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator on sockets: each scripted fault is what a caller meets, and nothing is left of a run."""
+"""The emulator on sockets: callers see each fault of an incident, and a run leaves no process behind."""
 
 import json
 import os
@@ -12,6 +12,7 @@
 import pytest
 
 from swiftthread.lab import run_records
+from swiftthread.lab.node_configuration import split_address
 
 INCIDENT_TEMPLATE = """
 format = 1
@@ -37,16 +38,18 @@
     """The emulator as a process, its timeline running."""
 
     def __init__(self, folder, steps="", dest=""):
-        path = folder / "day.toml"
+        path = folder / "incident.toml"
         path.write_text(INCIDENT_TEMPLATE.format(steps=steps, dest=dest))
-        self.rows = folder / "rows"
+        self.records_path = folder / "rows"
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "swiftthread.lab", "emulate", str(path), "--rows", str(self.rows)],
+            [sys.executable, "-m", "swiftthread.lab", "emulate", str(path), "--rows", str(self.records_path)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
-        self.page = json.loads(self.process.stdout.readline())
-        self.address = {row["id"]: address(row["addr"]) for row in self.page["known"]["servers"]}
+        self.addresses = json.loads(self.process.stdout.readline())
+        self.address_by_endpoint = {
+            row["id"]: split_address(row["addr"]) for row in self.addresses["known"]["servers"]
+        }
         self.send_line(f"go {time.monotonic() * 1000.0}")
 
     def send_line(self, line):
@@ -56,17 +59,13 @@
     def stop(self):
         self.send_line("stop")
         assert self.process.wait(10) == 0
-        return run_records.read_records(self.rows)
-
-
-def address(text):
-    host, _, port = text.rpartition(":")
-    return host, int(port)
+        return run_records.read_records(self.records_path)
 
 
 @contextmanager
-def emulated(folder, *step, dest=""):
-    text = "".join(f"[[step]]\nat_ms = 0\n{each}\n" for each in step)
+def emulated(folder, *steps, dest=""):
+    """Run the emulator with these steps at the start of its incident."""
+    text = "".join(f"[[step]]\nat_ms = 0\n{step}\n" for step in steps)
     emulator = EmulatorProcess(folder, text, dest)
     try:
         yield emulator
@@ -78,26 +77,30 @@
         emulator.process.stdout.close()
 
 
-def call(where, event_id="e1", body=b"x", timeout=2.0, conn=None):
-    """What one call gets: the bytes of its answer, b"" for a close, else an exception's name."""
+def exchange(connection, body=b"x"):
+    """Make one call on an open connection; return what one read gets of its answer."""
+    connection.sendall(
+        b"POST /receive HTTP/1.1\r\nHost: e\r\nX-Txn: e1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+    )
+    return connection.recv(4096)
+
+
+def call(where, body=b"x", timeout=2.0):
+    """Make one call on a new connection; return its answer, b"" for a close, or an exception's name."""
     try:
-        conn = conn or socket.create_connection(where, timeout)
-        conn.settimeout(timeout)
-        conn.sendall(
-            b"POST /receive HTTP/1.1\r\nHost: e\r\nX-Txn: %s\r\nContent-Length: %d\r\n\r\n%s"
-            % (event_id.encode(), len(body), body)
-        )
-        return conn.recv(4096)
+        with socket.create_connection(where, timeout) as connection:
+            return exchange(connection, body=body)
     except OSError as error:
         return type(error).__name__
 
 
-def wait_until(true, patience=5.0):
-    end = time.monotonic() + patience
-    while not (found := true()):
-        assert time.monotonic() < end, "what was waited for did not come"
+def wait_until(condition, timeout_s=5.0):
+    """Poll a condition; return its first true value."""
+    ends_at = time.monotonic() + timeout_s
+    while not (value := condition()):
+        assert time.monotonic() < ends_at, "the condition did not come true in time"
         time.sleep(0.01)
-    return found
+    return value
 
 
 @pytest.mark.parametrize(
@@ -114,52 +117,54 @@
         ("what = 'swallow'\non = 'endpoint:d1-0'", "TimeoutError"),
     ],
 )
-def test_a_fault_is_what_a_caller_meets(tmp_path, step, first):
+def test_callers_see_each_fault(tmp_path, step, first):
     with emulated(tmp_path, step) as emulator:
 
-        def meets():
-            reply = call(emulator.address["d1-0"], timeout=0.4)
+        def is_seen():
+            reply = call(emulator.address_by_endpoint["d1-0"], timeout=0.4)
             return (
                 reply == first
                 if isinstance(first, str)
                 else isinstance(reply, bytes) and reply.startswith(first)
             )
 
-        wait_until(meets)
-        assert call(emulator.address["d1-1"]).startswith(b"HTTP/1.1 200")  # the one beside it is fine
-        (beside,) = [
+        wait_until(is_seen)
+        healthy_reply = call(emulator.address_by_endpoint["d1-1"])
+        assert healthy_reply.startswith(b"HTTP/1.1 200")
+        (healthy_call,) = [
             row
             for row in emulator.stop()
             if isinstance(row, run_records.CallReceived) and row.endpoint == "d1-1"
         ]
-        assert beside.event_ids == ["e1"]
+        assert healthy_call.event_ids == ["e1"]
 
 
-def test_refused_calls_never_ran_and_the_record_says_so(tmp_path):
+def test_calls_reset_before_the_request_are_not_executed(tmp_path):
     with emulated(tmp_path, "what = 'reset_before'\non = 'dest:1'") as emulator:
-        wait_until(lambda: call(emulator.address["d1-0"], timeout=0.4) == "ConnectionResetError")
+        wait_until(lambda: call(emulator.address_by_endpoint["d1-0"], timeout=0.4) == "ConnectionResetError")
         seen = sum(
             isinstance(row, run_records.ReplySent) and row.outcome == "done" for row in emulator.stop()
         )
         assert seen <= 1  # at most a call that came before the step
 
 
-def test_a_shut_destination_tells_the_time_that_is_left(tmp_path):
+def test_an_unavailable_destination_sends_the_remaining_time_as_retry_after(tmp_path):
     with emulated(tmp_path, "what = 'shut'\non = 'dest:1'\nfor_ms = 900\nwait_ms = 1") as emulator:
         reply = wait_until(
-            lambda: (got := call(emulator.address["d1-0"])).startswith(b"HTTP/1.1 429") and got
+            lambda: (got := call(emulator.address_by_endpoint["d1-0"])).startswith(b"HTTP/1.1 429") and got
         )
         wait = float(reply.partition(b"Retry-After: ")[2].split(b"\r\n")[0])
         assert 0.0 < wait <= 0.9
-        wait_until(lambda: call(emulator.address["d1-0"]).startswith(b"HTTP/1.1 200"))
+        wait_until(lambda: call(emulator.address_by_endpoint["d1-0"]).startswith(b"HTTP/1.1 200"))
 
 
-def test_healing_ends_it_and_resets_what_was_open(tmp_path):
+def test_healing_ends_a_fault_and_records_the_recovery(tmp_path):
     with emulated(tmp_path, "what = 'vanish'\non = 'dest:1'\nfor_ms = 700") as emulator:
-        wait_until(lambda: call(emulator.address["d1-0"], timeout=0.2) == "TimeoutError")
+        wait_until(lambda: call(emulator.address_by_endpoint["d1-0"], timeout=0.2) == "TimeoutError")
         wait_until(
             lambda: (
-                call(emulator.address["d1-0"], timeout=0.5) not in ("TimeoutError", "ConnectionResetError")
+                call(emulator.address_by_endpoint["d1-0"], timeout=0.5)
+                not in ("TimeoutError", "ConnectionResetError")
             )
         )
         rows = emulator.stop()
@@ -171,11 +176,12 @@
 
 def test_a_full_connection_table_resets_one_more(tmp_path):
     with emulated(tmp_path, dest="connections = 2") as emulator:
-        kept = [socket.create_connection(emulator.address["d1-0"]) for _ in range(2)]
-        assert [call(None, conn=conn)[:12] for conn in kept] == [b"HTTP/1.1 200"] * 2
-        assert call(emulator.address["d1-0"]) in ("ConnectionResetError", "BrokenPipeError")
+        kept = [socket.create_connection(emulator.address_by_endpoint["d1-0"], 2.0) for _ in range(2)]
+        assert [exchange(connection)[:12] for connection in kept] == [b"HTTP/1.1 200"] * 2
+        assert call(emulator.address_by_endpoint["d1-0"]) in ("ConnectionResetError", "BrokenPipeError")
+        kept.pop().close()
+        wait_until(lambda: call(emulator.address_by_endpoint["d1-0"])[:12] == b"HTTP/1.1 200")
         kept.pop().close()
-        wait_until(lambda: call(emulator.address["d1-0"])[:12] == b"HTTP/1.1 200")
 
 
 def test_slow_readers_and_writers_are_slow(tmp_path):
@@ -183,9 +189,9 @@
     with emulated(tmp_path, *both) as emulator:
 
         def elapsed():
-            begun = time.monotonic()
-            assert call(emulator.address["d1-0"], body=b"y" * 640)
-            return time.monotonic() - begun
+            started_at = time.monotonic()
+            assert call(emulator.address_by_endpoint["d1-0"], body=b"y" * 640)
+            return time.monotonic() - started_at
 
         wait_until(lambda: elapsed() > 0.15)
 
@@ -193,7 +199,7 @@
 def test_a_batch_is_answered_by_event(tmp_path):
     with emulated(tmp_path) as emulator:
         body = json.dumps([{"id": "a", "body": "aGk="}, {"id": "b", "body": "aGk="}]).encode()
-        with socket.create_connection(emulator.address["d1-0"]) as conn:
+        with socket.create_connection(emulator.address_by_endpoint["d1-0"]) as conn:
             conn.sendall(
                 b"POST /receive-many HTTP/1.1\r\nHost: e\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             )
@@ -206,31 +212,31 @@
         assert call_row.event_ids == ["a", "b"]
 
 
-def test_the_watch_tells_changes_and_the_platform_takes_notices(tmp_path):
+def test_the_watch_sends_changes_and_the_platform_records_notifications(tmp_path):
     steps = ("what = 'join'\non = 'spares:1'", "what = 'drain'\non = 'endpoint:d1-0'")
     with emulated(tmp_path, *steps) as emulator:
-        with socket.create_connection(address(emulator.page["discovery"][0])) as conn:
+        with socket.create_connection(split_address(emulator.addresses["discovery"][0])) as conn:
             conn.sendall(b"GET /catalog/members?watch=1&from=0 HTTP/1.1\r\nHost: d\r\n\r\n")
             seen = b""
             conn.settimeout(5)
             while b"DRAINING" not in seen or b"d1-2" not in seen:
                 seen += conn.recv(65536)
-        with socket.create_connection(address(emulator.page["discovery"][0])) as conn:
+        with socket.create_connection(split_address(emulator.addresses["discovery"][0])) as conn:
             line = b'{"message":"x","outcome":"handed_back","retry_in_ms":250}\n'
             conn.sendall(
                 b"POST /status HTTP/1.1\r\nHost: d\r\nContent-Length: %d\r\n\r\n%s" % (len(line), line)
             )
             assert conn.recv(100).startswith(b"HTTP/1.1 204")
-        (notice,) = [row for row in emulator.stop() if isinstance(row, run_records.NotificationReceived)]
-        assert (notice.node, notice.event_id, notice.outcome, notice.retry_after_ms) == (
-            "n0",
-            "x",
-            "handed_back",
-            250,
-        )
+        (notification,) = [
+            row for row in emulator.stop() if isinstance(row, run_records.NotificationReceived)
+        ]
+        assert notification.node == "n0"
+        assert notification.event_id == "x"
+        assert notification.outcome == "handed_back"
+        assert notification.retry_after_ms == 250
 
 
-def test_the_emulator_ends_when_whoever_started_it_dies(tmp_path):
+def test_the_emulator_ends_with_its_standard_input(tmp_path):
     with emulated(tmp_path) as emulator:
         emulator.process.stdin.close()
         assert emulator.process.wait(5) == 0
@@ -238,25 +244,26 @@
 
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGTERM])
 def test_an_interrupted_run_leaves_nothing_running(tmp_path, how):
+    folder = tmp_path / "r"
+    node_log = folder / "n1.log"
     run = subprocess.Popen(
-        [sys.executable, "-m", "swiftthread.lab", "run", "calm", "--into", str(tmp_path / "r")],
+        [sys.executable, "-m", "swiftthread.lab", "run", "calm", "--into", str(folder)],
         stderr=subprocess.PIPE,
         stdout=subprocess.DEVNULL,
     )
-    wait_until(
-        lambda: (
-            (tmp_path / "r" / "n1.log").exists() and b"serves" in (tmp_path / "r" / "n1.log").read_bytes()
-        ),
-        15.0,
-    )
+    wait_until(lambda: node_log.exists() and b"serves" in node_log.read_bytes(), 15.0)
     run.send_signal(how)
-    reply = run.communicate(timeout=20)[1].decode()
-    assert run.returncode == 130 and "Traceback" not in reply, reply
-    left = [pid for pid in os.listdir("/proc") if pid.isdigit() and str(tmp_path).encode() in command(pid)]
+    errors = run.communicate(timeout=20)[1].decode()
+    assert run.returncode == 130 and "Traceback" not in errors, errors
+    left = [
+        pid
+        for pid in os.listdir("/proc")
+        if pid.isdigit() and str(tmp_path).encode() in command_and_environment(pid)
+    ]
     assert left == []
 
 
-def command(pid):
+def command_and_environment(pid):
     try:
         with open(f"/proc/{pid}/cmdline", "rb") as line, open(f"/proc/{pid}/environ", "rb") as environ:
             return line.read() + environ.read()
--- a/tests/lab/test_receiver_model.py
+++ b/tests/lab/test_receiver_model.py
@@ -106,13 +106,13 @@
     return rows
 
 
-def test_smooth_limit_and_its_waits_are_honest():
+def test_a_paced_limit_sends_an_exact_retry_after():
     receivers, endpoint = build_receiver(random.Random(1), workers=50, rate=10.0, burst=1)
     assert outcomes_at(receivers, endpoint, [0.0, 40.0, 99.0]) == [("in", 0.0), ("full", 60.0), ("full", 1.0)]
     assert outcomes_at(receivers, endpoint, [100.0]) == [("in", 0.0)]
 
 
-def test_refusals_may_use_the_limit_up():
+def test_rejections_may_count_against_the_rate_limit():
     kept, used = (
         build_receiver(random.Random(1), workers=50, rate=10.0, window_ms=1000.0, counts_rejections=use)
         for use in (False, True)
@@ -132,12 +132,12 @@
     assert counts[0] == 51 and counts[1] < 10
 
 
-def test_waits_in_a_span_end_with_it():
+def test_retry_after_of_a_window_ends_with_it():
     receivers, endpoint = build_receiver(random.Random(1), workers=50, rate=2.0, window_ms=1000.0)
     assert outcomes_at(receivers, endpoint, [0.0, 1.0, 400.0, 1000.0])[2:] == [("full", 600.0), ("in", 0.0)]
 
 
-def test_a_full_queue_turns_away():
+def test_a_full_queue_rejects():
     receivers, endpoint = build_receiver(random.Random(1), queue=2, kind="fixed")
     assert [outcome for outcome, _ in outcomes_at(receivers, endpoint, [0.0, 1.0, 2.0, 3.0])] == [
         "in",
@@ -147,7 +147,7 @@
     ]
 
 
-def test_a_pause_moves_every_end_and_keeps_their_order():
+def test_a_pause_delays_every_completion_and_keeps_their_order():
     receivers, endpoint = build_receiver(random.Random(1), workers=2, kind="fixed")
     first, _ = receivers.arrive(0.0, endpoint, 1)
     second, _ = receivers.arrive(4.0, endpoint, 2)
@@ -162,7 +162,7 @@
     assert endpoint.busy_workers == 0 and receivers.next_completion_at() == math.inf
 
 
-def test_a_death_ends_what_it_held_and_none_of_it_comes_later():
+def test_a_crash_resets_calls_in_flight_and_none_completes_later():
     receivers, endpoint = build_receiver(random.Random(1), kind="fixed")
     for tag in (1, 2, 3):
         receivers.arrive(0.0, endpoint, tag)
@@ -179,7 +179,7 @@
     )
 
 
-def test_warmth_after_a_return_and_the_fall():
+def test_warm_up_after_recovery_and_overload():
     events = []
     receivers, endpoint = build_receiver(random.Random(1), workers=50, kind="fixed", rate=20.0, cold=0.2)
     receivers.observe = events.append
@@ -204,7 +204,7 @@
     assert 8 <= sum(isinstance(event, CallArrived) for event in events[:overloaded]) <= 20
 
 
-def test_no_fall_within_the_budget_nor_once_warm():
+def test_no_overload_within_the_budget_nor_once_warm():
     receivers, endpoint = build_receiver(random.Random(1), workers=50, kind="fixed", rate=20.0, cold=0.2)
     endpoint.destination.overload_multiple = 2.0
     endpoint.destination.overload_window_ms = 500.0
