--- a/swiftthread/lab/receiver_model.py
+++ b/swiftthread/lab/receiver_model.py
@@ -227,11 +227,13 @@
         """Apply a fault to endpoints; return the answers that calls in flight get at once.
 
         Raises:
-            KeyError: The fault is one of the sockets alone.
+            ValueError: The fault is one of the sockets alone.
         """
+        handler = self._FAULT_HANDLERS.get(fault.kind)
+        if handler is None:
+            raise ValueError(f"{fault.kind}: a fault of the sockets, which the model does not see")
         endpoints = list(endpoints)
         self.observe(FaultApplied(now, fault.kind, [endpoint.name for endpoint in endpoints]))
-        handler = self._FAULT_HANDLERS[fault.kind]
         answers: list[Answer] = []
         for endpoint in endpoints:
             answers += handler(self, now, endpoint, fault) or ()
--- a/tests/lab/test_receiver_model.py
+++ b/tests/lab/test_receiver_model.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from swiftthread.lab.faults import Fault, FaultKind
+from swiftthread.lab.faults import SOCKET_FAULTS, Fault, FaultKind
 from swiftthread.lab.outcomes import DestinationChange
 from swiftthread.lab.rate_limit import RateLimit
 from swiftthread.lab.receiver_model import CallArrived, DestinationAvailabilityChanged, ReceiverModel
@@ -223,9 +223,25 @@
     assert receivers.open_connection(endpoint)
 
 
+@pytest.mark.parametrize("kind", sorted(set(FaultKind) - SOCKET_FAULTS))
+def test_every_fault_that_is_not_one_of_the_sockets_can_be_applied_and_healed(kind):
+    receivers, endpoint = build_receiver(random.Random(1), kind="fixed", rate=100.0)
+    receivers.apply(0.0, Fault(kind, factor=0.5, duration_ms=100.0), [endpoint])
+    receivers.apply(200.0, Fault(FaultKind.JOIN), [endpoint])
+    receivers.apply(200.0, HEAL, [endpoint])
+    assert outcomes_at(receivers, endpoint, [1000.0]) == [("in", 0.0)]
+
+
+@pytest.mark.parametrize("kind", sorted(SOCKET_FAULTS))
+def test_faults_of_the_sockets_are_none_of_the_model(kind):
+    receivers, endpoint = build_receiver(random.Random(1))
+    with pytest.raises(ValueError, match=kind):
+        receivers.apply(0.0, Fault(kind), [endpoint])
+
+
 SEEDED_SCRIPT = """
 import json, random, sys
-from swiftthread.lab.faults import Fault, FaultKind
+from swiftthread.lab.faults import SOCKET_FAULTS, Fault, FaultKind
 from swiftthread.lab.rate_limit import RateLimit
 from swiftthread.lab.receiver_model import ReceiverModel
 from swiftthread.lab.receivers import Destination, Endpoint, service_time_sampler
--- /dev/null
+++ b/tests/lab/test_run_records.py
@@ -0,0 +1,71 @@
+"""The rows of a run on disk: their words never change, so that rows of earlier runs can be judged anew."""
+
+import json
+from contextlib import closing
+
+import pytest
+
+from swiftthread.lab.outcomes import CallOutcome, DestinationChange, EndpointState
+from swiftthread.lab.run_records import (
+    DestinationChanged,
+    EndpointStateAnnounced,
+    RecordWriter,
+    ReplySent,
+    read_records,
+)
+
+
+def write_records(path, *records):
+    with closing(RecordWriter(path)) as writer:
+        for record in records:
+            writer.write(record)
+
+
+@pytest.mark.parametrize(
+    "outcome, word",
+    [
+        (CallOutcome.DONE, "done"),
+        (CallOutcome.ERROR, "error"),
+        (CallOutcome.RATE_LIMITED, "full"),
+        (CallOutcome.UNAVAILABLE, "shut"),
+        (CallOutcome.RESET, "reset"),
+        (CallOutcome.TRUNCATED, "half"),
+        (CallOutcome.NO_REPLY, "nothing"),
+    ],
+)
+def test_an_outcome_is_stored_as_its_word(tmp_path, outcome, word):
+    path = tmp_path / "rows"
+    write_records(path, ReplySent(1.5, 7, outcome, 20.0))
+    assert json.loads(path.read_bytes()) == {
+        "row": "reply_sent",
+        "at": 1.5,
+        "call": 7,
+        "outcome": word,
+        "retry_after_ms": 20.0,
+    }
+    assert read_records(path) == [ReplySent(1.5, 7, outcome, 20.0)]
+
+
+@pytest.mark.parametrize("change, word", zip(DestinationChange, ("out", "back", "falls"), strict=True))
+def test_a_destination_change_is_stored_as_its_word(tmp_path, change, word):
+    path = tmp_path / "rows"
+    write_records(path, DestinationChanged(1.0, 3, change))
+    assert json.loads(path.read_bytes())["change"] == word
+
+
+@pytest.mark.parametrize("state, word", zip(EndpointState, ("SERVING", "DRAINING", "DELETED"), strict=True))
+def test_an_endpoint_state_is_stored_as_its_word(tmp_path, state, word):
+    path = tmp_path / "rows"
+    write_records(path, EndpointStateAnnounced(1.0, "n0", "d1-0", state))
+    assert json.loads(path.read_bytes())["state"] == word
+
+
+def test_records_of_several_files_are_read_in_order_without_a_line_cut_short(tmp_path):
+    first, second = tmp_path / "first", tmp_path / "second"
+    late = ReplySent(9.0, 1, CallOutcome.DONE)
+    early = ReplySent(2.0, 2, CallOutcome.ERROR)
+    write_records(first, late)
+    write_records(second, early)
+    with open(second, "ab") as file:
+        file.write(b'{"row":"reply_sent","at":3.0,"ca')
+    assert read_records(first, second) == [early, late]
