--- /dev/null
+++ b/swiftthread/client/endpoint_connections.py
@@ -0,0 +1,72 @@
+"""Connections to endpoints while a call is on them; between calls they are in the connection pool."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+import h11
+
+from swiftthread.client.http_exchange import HttpResponse, client_parser
+from swiftthread.network.buffer_pool import BufferPool
+from swiftthread.network.connection import Connection, ConnectionClosed, connect
+from swiftthread.network.connection_pool import ConnectionPool
+
+if TYPE_CHECKING:
+    from swiftthread.routing.router import Endpoint
+
+EndpointKey = tuple[str | int, tuple[str, int] | None]
+"""Endpoint id and (host, port), which is None for an endpoint without a known address."""
+
+
+class EndpointConnections:
+    """Acquires a connection for a call, and keeps or closes it after the call."""
+
+    __slots__ = ("pool", "buffers", "addresses", "connect_timeout_ms")
+
+    def __init__(
+        self,
+        pool: ConnectionPool,
+        buffers: BufferPool,
+        addresses: Mapping[str, tuple[str, int]],
+        connect_timeout_ms: float,
+    ) -> None:
+        self.pool = pool
+        self.buffers = buffers
+        self.addresses = addresses
+        self.connect_timeout_ms = connect_timeout_ms
+
+    def key_of(self, endpoint: Endpoint) -> EndpointKey:
+        """The key of an endpoint's connections now: an address can pass from one endpoint to the next."""
+        return endpoint.endpoint_id, self.addresses.get(endpoint.endpoint_id)
+
+    async def acquire(self, key: EndpointKey) -> Connection:
+        """A pooled connection, or a new one.
+
+        Raises:
+            ConnectionClosed: The endpoint has no address, or no connection to it came up.
+        """
+        address = key[1]
+        if address is None:
+            raise ConnectionClosed(False)
+        connection = self.pool.acquire(key)
+        if connection is None:
+            connection = await connect(address, self.buffers, client_parser(), self.connect_timeout_ms)
+            connection.enable_timestamps()
+        return connection
+
+    def release(self, key: EndpointKey, connection: Connection | None, response: HttpResponse) -> None:
+        """Keep the connection of a call that is over for the next call, or close it."""
+        if connection is None:
+            return
+        if response.allows_reuse(connection) or connection.parser.our_state is h11.IDLE:
+            self.pool.release(key, connection)
+        elif response.has_begun or response.is_complete:
+            connection.close()
+        else:
+            # Who has answered has the request; of any other what has not arrived yet must not do so later.
+            connection.reset()
+
+    def close_idle(self, endpoint: Endpoint) -> None:
+        """Close the pooled connections to an endpoint."""
+        self.pool.close_idle(self.key_of(endpoint))
--- /dev/null
+++ b/swiftthread/client/endpoint_request.py
@@ -0,0 +1,36 @@
+"""The request that carries one event, or several, to an endpoint."""
+
+from __future__ import annotations
+
+import base64
+import json
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from swiftthread.client.http_exchange import HttpRequest
+
+if TYPE_CHECKING:
+    from swiftthread.storage.pending_event import PendingEvent
+
+HOST_HEADER = ("Host", "endpoint")
+
+
+def build_send_request(events: Sequence[PendingEvent], remaining_ms: float) -> HttpRequest:
+    """The request for these events, of which the endpoint is told how long its answer is waited for."""
+    headers = [HOST_HEADER, ("X-Remaining", f"{max(1, int(remaining_ms))}m")]
+    if len(events) == 1:
+        (pending,) = events
+        headers.append(("X-Txn", pending.event_id))
+        if pending.idempotency_key:
+            headers.append(("Idempotency-Key", pending.idempotency_key))
+        return HttpRequest("POST", "/receive", headers, pending.body)
+    headers.append(("Content-Type", "application/json"))
+    rows = [_batch_row(pending) for pending in events]
+    return HttpRequest("POST", "/receive-many", headers, json.dumps(rows).encode())
+
+
+def _batch_row(pending: PendingEvent) -> dict[str, str]:
+    row = {"id": pending.event_id, "body": base64.b64encode(pending.body).decode()}
+    if pending.idempotency_key:
+        row["key"] = pending.idempotency_key
+    return row
--- a/swiftthread/client/result_notifier.py
+++ b/swiftthread/client/result_notifier.py
@@ -1,86 +1,123 @@
-"""Notices to the platform: a line for each event that ends undelivered, repeated until answered 204."""
+"""Notifications of results: a line for each event that ends undelivered, repeated until answered 204."""
+
+from __future__ import annotations
 
 import json
+from collections.abc import Collection
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 import anyio
 from loguru import logger
 
-from swiftthread.client.http_exchange import HttpResponse, exchange, parser
-from swiftthread.network.connection import ConnectionClosed, connect
+from swiftthread.client.http_exchange import HttpRequest, HttpResponse, client_parser, exchange
+from swiftthread.network.buffer_pool import BufferPool
+from swiftthread.network.connection import Connection, ConnectionClosed, connect
+
+if TYPE_CHECKING:
+    from swiftthread.storage.decision import Decision
+
+MAX_LINES_PER_REQUEST = 200  # well inside 64 KiB
+STATUS_ACKNOWLEDGED = 204
+
+
+@dataclass(slots=True, eq=False)
+class PendingNotification:
+    """A notification that is not acknowledged yet."""
 
-AT_ONCE = 200  # lines in one body: well inside 64 KiB
+    line: str
+    acknowledged: anyio.Event = field(default_factory=anyio.Event)
 
 
 class ResultNotifier:
-    """Owner of the connection that notices go on."""
-
-    def __init__(self, address, buffers, response_timeout_ms, retry_pause_ms):
-        self.address, self.buffers, self.answer, self.pause = (
-            address,
-            buffers,
-            response_timeout_ms,
-            retry_pause_ms,
-        )
-        self.waiting = {}  # event id -> (line, flag); emptied as notices are answered
-        self.bell, self.posting = anyio.Event(), anyio.CancelScope()
-        self.line, self.line_to = None, None
-
-    def change_address(self, address):
-        """The platform is elsewhere: what is not answered yet is told there, maybe once more."""
+    """Posts notifications to discovery's address, over one connection that it keeps."""
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        buffers: BufferPool,
+        response_timeout_ms: float,
+        retry_pause_ms: float,
+    ) -> None:
+        self.address = address
+        self.buffers = buffers
+        self.response_timeout_ms = response_timeout_ms
+        self.retry_pause_ms = retry_pause_ms
+        self.pending: dict[str, PendingNotification] = {}  # by event id; emptied as they are acknowledged
+        self.has_pending = anyio.Event()
+        self.post_scope = anyio.CancelScope()
+        self.connection: Connection | None = None
+        self.connected_to: tuple[str, int] | None = None
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Discovery has moved: what is not acknowledged yet is posted there, maybe for a second time."""
         if address != self.address:
             self.address = address
-            self.posting.cancel()
+            self.post_scope.cancel()
 
-    async def notify(self, event_id, decision):
-        """Return once the platform has the notice."""
-        row = {"message": event_id, "outcome": decision.outcome}
+    async def notify(self, event_id: str, decision: Decision) -> None:
+        """Return once the notification is acknowledged."""
+        row: dict[str, object] = {"message": event_id, "outcome": decision.outcome}
         if decision.retry_after_ms:
             row["retry_in_ms"] = round(decision.retry_after_ms)
-        told = anyio.Event()
-        self.waiting[event_id] = (json.dumps(row), told)
-        self.bell.set()
-        await told.wait()
+        notification = PendingNotification(json.dumps(row))
+        self.pending[event_id] = notification
+        self.has_pending.set()
+        await notification.acknowledged.wait()
 
-    async def run(self):
-        """Post what waits, in batches, until cancelled."""
+    async def run(self) -> None:
+        """Post what is pending, several notifications in one request, until cancelled."""
         try:
             while True:
-                if not self.waiting:
-                    self.bell = anyio.Event()
-                    await self.bell.wait()
-                batch = dict(list(self.waiting.items())[:AT_ONCE])
-                if await self._post(batch):
-                    for ident, (_, told) in batch.items():
-                        del self.waiting[ident]
-                        told.set()
+                if not self.pending:
+                    self.has_pending = anyio.Event()
+                    await self.has_pending.wait()
+                batch = dict(list(self.pending.items())[:MAX_LINES_PER_REQUEST])
+                if await self._post(batch.values()):
+                    for event_id, notification in batch.items():
+                        del self.pending[event_id]
+                        notification.acknowledged.set()
                 else:
-                    logger.warning("notices are not answered, {} wait", len(self.waiting))
-                    await anyio.sleep(self.pause / 1000.0)
+                    host, port = self.address
+                    logger.warning(
+                        "discovery {}:{}: notifications are not acknowledged, {} are pending",
+                        host,
+                        port,
+                        len(self.pending),
+                    )
+                    await anyio.sleep(self.retry_pause_ms / 1000.0)
         finally:
             self._close()
 
-    async def _post(self, batch):
-        body = "".join(line + "\n" for line, _ in batch.values()).encode()
-        address, response = self.address, HttpResponse()
-        if self.line is not None and not (self.line_to == address and self.line.is_untouched()):
-            self._close()
+    async def _post(self, batch: Collection[PendingNotification]) -> bool:
+        """Post notifications; whether they are acknowledged."""
+        body = "".join(notification.line + "\n" for notification in batch).encode()
+        request = HttpRequest("POST", "/status", [("Host", "discovery")], body)
+        response = HttpResponse()
+        address = self.address
+        self._close_unless_usable(address)
         try:
-            with anyio.move_on_after(self.answer / 1000.0) as self.posting:
-                if self.line is None:
-                    self.line, self.line_to = await connect(address, self.buffers, parser()), address
-                await exchange(
-                    self.line, "POST", "/status", [("Host", "discovery")], body, response, self.posting
-                )
+            with anyio.move_on_after(self.response_timeout_ms / 1000.0) as self.post_scope:
+                if self.connection is None:
+                    self.connection = await connect(address, self.buffers, client_parser())
+                    self.connected_to = address
+                await exchange(self.connection, request, response, self.post_scope)
         except ConnectionClosed:
             pass
-        except Exception:  # guards the node: it is told again, on another connection
-            logger.exception("notices failed")
+        except Exception:  # guards the node: they are posted again, on another connection
+            logger.exception("discovery {}:{}: notices failed", *address)
             response = HttpResponse()
-        if self.line is not None and not response.allows_reuse(self.line):
+        if self.connection is not None and not response.allows_reuse(self.connection):
+            self._close()
+        return response.is_complete and response.status == STATUS_ACKNOWLEDGED
+
+    def _close_unless_usable(self, address: tuple[str, int]) -> None:
+        if self.connection is None:
+            return
+        if self.connected_to != address or not self.connection.is_untouched():
             self._close()
-        return response.is_complete and response.status == 204
 
-    def _close(self):
-        if self.line is not None:
-            self.line.close()
-            self.line = None
+    def _close(self) -> None:
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
--- /dev/null
+++ b/tests/client/test_health_check.py
@@ -0,0 +1,47 @@
+"""Health checks of endpoints."""
+
+import anyio
+from support.fake_servers import FakeHttpServer
+
+from swiftthread.client.endpoint_client import EndpointClient
+from swiftthread.network.buffer_pool import BufferPool
+from swiftthread.network.connection_pool import ConnectionPool
+from swiftthread.routing.events import Destination
+from swiftthread.routing.messages import SendOutcome
+from swiftthread.routing.router import Endpoint
+
+
+def health_outcome(moves):
+    """The outcome of a health check; the endpoint has another address when it answers if it `moves`."""
+    addresses = {}
+
+    def answer(method, target, headers, body):
+        if moves:
+            addresses["a"] = ("127.0.0.1", 1)
+        return 200, [], b""
+
+    async def check():
+        host, port = FakeHttpServer(answer).address.split(":")
+        addresses["a"] = (host, int(port))
+        pool = ConnectionPool(lambda: 0.0, 1000.0, 4)
+        client = EndpointClient(
+            tasks=None,
+            connections=pool,
+            buffers=BufferPool(),
+            clock=lambda: 0.0,
+            wall_clock=lambda: 0.0,
+            addresses=addresses,
+            connect_timeout_ms=1500.0,
+            report_fields=(),
+            send_deadline=None,
+        )
+        result = await client.check_health(Endpoint("a", 0, Destination(0), 0))
+        pool.close_all()
+        return result.outcome
+
+    return anyio.run(check)
+
+
+def test_a_response_from_an_earlier_address_says_nothing_of_the_endpoint():
+    assert health_outcome(moves=False) == SendOutcome.ACKED
+    assert health_outcome(moves=True) == SendOutcome.TIMED_OUT
