--- a/swiftthread/client/endpoint_list.py
+++ b/swiftthread/client/endpoint_list.py
@@ -68,7 +68,9 @@
         Raises:
             MalformedEndpointList: The page is no endpoint list, and nothing is changed.
         """
-        rows, version, is_complete = self._parse_page(page)
+        rows = _parse_rows(page)
+        version = _parse_version(page, default=self.version)
+        is_complete = bool(page.get("full"))
         known_entries = dict(self._entries)
         if is_complete:
             self._entries.clear()
@@ -89,18 +91,6 @@
         self.unreadable_in_a_row = self.unreadable_in_a_row + 1 if has_unreadable else 0
         return EndpointListUpdate(entries, is_complete)
 
-    def _parse_page(self, page: Any) -> tuple[list[Any], int, bool]:
-        """Rows, version, and whether they are all endpoints."""
-        try:
-            rows = page["servers"]
-            version = int(page.get("version") or self.version)
-            is_complete = bool(page.get("full"))
-        except UNREADABLE as error:
-            raise MalformedEndpointList(f"no endpoint list: {error!r}") from error
-        if not isinstance(rows, list):
-            raise MalformedEndpointList(f"servers: no list but {type(rows).__name__}")
-        return rows, version, is_complete
-
     def _apply_row(self, row: Any) -> EndpointEntry:
         """Read one endpoint; its entry and address are kept only if all of it can be read."""
         endpoint_id = _parse_value(row, "id", _require_string)
@@ -154,6 +144,23 @@
         return self._unnamed_zones[zone]
 
 
+def _parse_rows(page: Any) -> list[Any]:
+    try:
+        rows = page["servers"]
+    except UNREADABLE as error:
+        raise MalformedEndpointList(f"servers: {error!r}") from error
+    if not isinstance(rows, list):
+        raise MalformedEndpointList(f"servers: no list but {type(rows).__name__}")
+    return rows
+
+
+def _parse_version(page: dict[str, Any], default: int) -> int:
+    try:
+        return int(page.get("version") or default)
+    except UNREADABLE as error:
+        raise MalformedEndpointList(f"version: {error!r}") from error
+
+
 def _parse_value(row: Any, key: str, parse: Callable[[Any], Value]) -> Value:
     """The parsed value under a key of an entry; MalformedEndpointEntry when it cannot be read."""
     try:
--- a/tests/client/test_call_deadlines.py
+++ b/tests/client/test_call_deadlines.py
@@ -11,16 +11,31 @@
 POSTING = {"Idempotency-Key": "k-1"}
 
 
+def deduplicated_stream(group, window_s):
+    """The settings of a stream type that is deduplicated within a group and window."""
+    return {
+        "Name": "posting",
+        "Effect": "dedup",
+        "Aim": 1.5,
+        "Deadline": 9.0,
+        "Group": group,
+        "Window": window_s,
+    }
+
+
+def slow_reading_endpoint(*script):
+    """An endpoint that can stop reading, with little room for what is not read."""
+    endpoint = GatedEndpoint(*script)
+    endpoint.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    endpoint.listener.listen(8)
+    return endpoint
+
+
 @pytest.mark.parametrize("group", ["zone", "all"])
 def test_a_connection_that_comes_up_after_the_window_carries_no_second_send(tmp_path, group):
-    """The fleet's zone+mass days.
-
-    Decided 4.7 s after the first send, its bytes left after 5.7 s of a window of 5.1.
-    """
+    """Decided 4.7 s after the first send, its bytes left after 5.7 s of a window of 5.1 s."""
     endpoint = GatedEndpoint(lambda _body: (endpoint.shut(), time.sleep(1.25), "reset")[2], 200)
-    streams = [
-        {"Name": "posting", "Effect": "dedup", "Aim": 1.5, "Deadline": 9.0, "Group": group, "Window": 2.2}
-    ]
+    streams = [deduplicated_stream(group, 2.2)]
     with NodeProcess(tmp_path, endpoint, Profiles=streams, Permissions={"ConnectTimeout": 4.0}) as node:
         assert node.hand_in("posting", left="8000m", **POSTING) == 202
         until(lambda: node.log_path().read_bytes().count(b'O["evt-1"') == 2)
@@ -32,7 +47,7 @@
 
 @pytest.mark.parametrize("stream", ["notice", "once"])
 def test_an_event_whose_time_ends_before_its_connection_is_up_is_in_no_call(tmp_path, stream):
-    """It was told to have timed out and given up, and then travelled with the others of its call."""
+    """It was reported as timed out and abandoned, and then sent with the others of its call."""
     wait = (429, [("Retry-After", "0.3"), ("Connection", "close")], b"")
     endpoint = GatedEndpoint(
         lambda _body: (endpoint.shut(), wait)[1],
@@ -51,7 +66,7 @@
 
 
 def test_no_event_ends_while_the_call_that_it_travels_in_is_out(tmp_path):
-    """One of a call was given up, the answer came after it, and the others' acks counted for nothing."""
+    """One of a call was abandoned, the response came after that, and the others' acks were lost."""
 
     def late(conn):
         until(lambda: node.notices())
@@ -74,9 +89,7 @@
 
 def test_a_process_that_stood_still_does_not_send_what_is_past_its_window(tmp_path):
     endpoint = GatedEndpoint(lambda _body: (endpoint.shut(), time.sleep(1.25), "reset")[2], 200)
-    streams = [
-        {"Name": "posting", "Effect": "dedup", "Aim": 1.5, "Deadline": 9.0, "Group": "zone", "Window": 2.2}
-    ]
+    streams = [deduplicated_stream("zone", 2.2)]
     with NodeProcess(tmp_path, endpoint, Profiles=streams, Permissions={"ConnectTimeout": 6.0}) as node:
         assert node.hand_in("posting", left="8000m", **POSTING) == 202
         until(lambda: node.log_path().read_bytes().count(b'O["evt-1"') == 2)
@@ -93,9 +106,7 @@
 
     A receiver that read on had the event after its final answer.
     """
-    endpoint = GatedEndpoint()
-    endpoint.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    endpoint.listener.listen(8)
+    endpoint = slow_reading_endpoint()
     with NodeProcess(tmp_path, endpoint) as node:
         endpoint.gate.clear()
         assert node.hand_in(body=bytes(60000), left="900m") == 202
@@ -109,12 +120,8 @@
 
 @pytest.mark.parametrize("window, calls", [(1.4, 1), (9.0, 2)])
 def test_a_send_whose_last_byte_is_not_there_by_the_end_of_its_window_ends(tmp_path, window, calls):
-    endpoint = GatedEndpoint(lambda _body: (endpoint.gate.clear(), time.sleep(0.7), "reset")[2], 200)
-    endpoint.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    endpoint.listener.listen(8)
-    streams = [
-        {"Name": "posting", "Effect": "dedup", "Aim": 1.5, "Deadline": 9.0, "Group": "zone", "Window": window}
-    ]
+    endpoint = slow_reading_endpoint(lambda _body: (endpoint.gate.clear(), time.sleep(0.7), "reset")[2], 200)
+    streams = [deduplicated_stream("zone", window)]
     with NodeProcess(tmp_path, endpoint, Profiles=streams, Permissions={"ConnectTimeout": 4.0}) as node:
         assert node.hand_in("posting", body=bytes(60000), left="8000m", **POSTING) == 202
         until(lambda: endpoint.calls)
--- a/tests/client/test_discovery_watch.py
+++ b/tests/client/test_discovery_watch.py
@@ -68,13 +68,10 @@
 
 
 def test_a_silent_watch_is_opened_anew_before_what_it_misses_counts_as_known():
-    """The pages: what a watch that fell silent misses counts as told after 6 s.
-
-    An empty line comes every 2 s.
-    """
-    run = SimulatedNode([])
+    """What a silent watch misses counts as known after 6 s; an empty line comes every 2 s."""
+    router = SimulatedNode([]).session.router
     pauses = []
     for _ in range(500):
-        run.session.router.list_request_failed(0.0)
-        pauses.append(run.session.router.listing_at)
+        router.list_request_failed(0.0)
+        pauses.append(router.listing_at)
     assert limits.WATCH_QUIET_MS > 4000.0 and limits.WATCH_QUIET_MS + max(pauses) < 5200.0
--- a/tests/routing/test_send_deadline.py
+++ b/tests/routing/test_send_deadline.py
@@ -13,7 +13,7 @@
 
 
 def maybe_ran(stream, endpoint="a"):
-    """A run at 1,000 ms, and an event of it whose first send, at 0 ms to this sink, may have run."""
+    """A run at 1,000 ms, and an event of it whose first send, at 0 ms to this endpoint, may have run."""
     run = SimulatedNode([row for row in ENTRIES if row[0] == endpoint], stream_types=[stream]).play(0.0)
     node = run.session.router
     event = node.add_event(0.0, 0, 0, stream.max_age_ms)
--- a/tests/routing/test_send_deadline_relisted.py
+++ b/tests/routing/test_send_deadline_relisted.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("first, then", [(0, 1), (1, 0)])
-def test_an_endpoint_listed_anew_with_another_kind_is_another_and_its_told_wait_holds(first, then):
+def test_an_endpoint_listed_anew_with_another_kind_is_another_and_its_retry_after_holds(first, then):
     node = SimulatedNode(
         [], stream_types=[IDEMPOTENT], batch_size_by_kind=[5, 1], separate_routes_by_kind=[False, True]
     ).session.router
