--- a/swiftthread/client/endpoint_client.py
+++ b/swiftthread/client/endpoint_client.py
@@ -6,7 +6,6 @@
 from typing import TYPE_CHECKING
 
 import anyio
-from anyio.abc import TaskGroup
 from loguru import logger
 
 from swiftthread.client.batch import Batch
@@ -22,6 +21,8 @@
 from swiftthread.routing.messages import Send, SendOutcome
 
 if TYPE_CHECKING:
+    from anyio.abc import TaskGroup
+
     from swiftthread.routing.events import Call
     from swiftthread.routing.router import Endpoint
     from swiftthread.storage.pending_event import PendingEvent
