--- a/swiftthread/network/__init__.py
+++ b/swiftthread/network/__init__.py
@@ -1,1 +1,1 @@
-"""TCP connections, their idle pool, and the buffers that reads borrow. Nothing is decided here."""
+"""TCP connections, the pool of idle ones, and the buffers that reads borrow. Nothing is decided here."""
--- a/swiftthread/network/connection.py
+++ b/swiftthread/network/connection.py
@@ -7,124 +7,191 @@
 import socket
 import struct
 import termios
+from collections.abc import Awaitable, Callable
+from typing import Self
 
 import anyio
+import h11
 
-DROPPED_AT_ONCE = 64  # reads of one buffer, 1 MiB in all, before others have their turn
+from swiftthread.network import timestamps
+from swiftthread.network.address import Address
+from swiftthread.network.address import parse_address as parse_address
+from swiftthread.network.buffer_pool import BufferPool
+from swiftthread.network.listener import open_listener as open_listener
 
+# Reads of one buffer, 1 MiB in all, before other tasks have their turn.
+MAX_READS_DISCARDED_AT_ONCE = 64
+# tcp_info.tcpi_state on Linux once the peer has closed.
+TCP_CLOSE = 7
+TCP_CLOSE_WAIT = 8
+# Linger on, 0 s: what has not been delivered by the close never will be.
+LINGER_NOT_AT_ALL = struct.pack("ii", 1, 0)
+UNACKNOWLEDGED_BYTES = struct.Struct("i")  # the result of TIOCOUTQ
 
-STAMP = getattr(socket, "SO_TIMESTAMPNS", 35)  # Linux: the kernel says when bytes came, as CLOCK_REALTIME
-LEFT = (7, 8)  # Linux, tcp_info: CLOSE, CLOSE_WAIT
-STAMPED = struct.Struct("ll")  # s, ns
-STAMP_ROOM = socket.CMSG_SPACE(STAMPED.size)
-AT_ONCE = struct.pack("ii", 1, 0)  # linger: on, 0 s; what has not arrived by the close never will
-COUNT = struct.Struct("i")
+# Names that other modules still use.
+STAMP = timestamps.SO_TIMESTAMPNS
+STAMPED = timestamps.TIMESPEC
+STAMP_ROOM = timestamps.ANCILLARY_BYTES
 
 
 class ConnectionClosed(Exception):
-    """The connection is over.
+    """The connection is over, or never came up.
 
-    `written` tells whether the kernel had taken all bytes of the last message; `refused` that the other
-    side's machine said no to the connect.
+    Attributes:
+        request_was_written: Whether the kernel had accepted all bytes of the last message.
+        was_refused: Whether the peer's host refused to connect.
     """
 
-    def __init__(self, written, refused=False):
+    def __init__(self, request_was_written: bool, was_refused: bool = False) -> None:
         super().__init__("the connection is over")
-        self.written, self.refused = written, refused
+        self.request_was_written = request_was_written
+        self.was_refused = was_refused
+
+    @property
+    def written(self) -> bool:
+        """The former name of `request_was_written`."""
+        return self.request_was_written
+
+    @property
+    def refused(self) -> bool:
+        """The former name of `was_refused`."""
+        return self.was_refused
 
 
 class Connection:
-    """A connection and its parser. Who opens or accepts it closes it."""
+    """A connected socket and its HTTP parser. Who opens or accepts it closes it.
+
+    Attributes:
+        idle_since: When a pool last took it in, on the pool's clock; None before its first use is over.
+        received_at: Unix ms at which the kernel had the bytes read last; None when it does not say.
+    """
 
-    def __init__(self, sock, buffers, parser):
+    def __init__(self, sock: socket.socket, buffers: BufferPool, parser: h11.Connection) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.socket, self.buffers, self.parser = sock, buffers, parser
-        self.idle_since = None  # None: it never idled, so its call is the first on it
-        self.received_at = None  # Unix ms at which the kernel had the bytes read last; None: it does not say
-
-    def enable_timestamps(self):
-        """From now on the kernel notes when bytes come: what we read late is told from what came late."""
-        # Then lateness of ours counts as the other side's, as before.
+        self.socket = sock
+        self.buffers = buffers
+        self.parser = parser
+        self.idle_since: float | None = None
+        self.received_at: float | None = None
+
+    def enable_timestamps(self) -> Self:
+        """Fill `received_at` from now on, so that a late read is told from a late arrival."""
+        # Without support by the kernel, our own delays count as the peer's.
         with contextlib.suppress(OSError):
-            self.socket.setsockopt(socket.SOL_SOCKET, STAMP, 1)
+            timestamps.enable_timestamps(self.socket)
         return self
 
-    async def write(self, *parts):
-        """All parts as one message, in order."""
-        left = memoryview(b"".join(parts))
-        while left:
+    async def write(self, *parts: bytes) -> None:
+        """Write all parts, in order, as one message.
+
+        Raises:
+            ConnectionClosed: the connection ended before all was written.
+        """
+        remaining = memoryview(b"".join(parts))
+        while remaining:
             try:
-                left = left[self.socket.send(left) :]
+                remaining = remaining[self.socket.send(remaining) :]
             except BlockingIOError:
-                await self._when(anyio.wait_writable)
+                await self._wait(anyio.wait_writable)
             except OSError:
-                raise ConnectionClosed(False) from None
+                raise ConnectionClosed(request_was_written=False) from None
+
+    def read_available(self) -> bool:
+        """Hand the parser what has arrived; False when nothing has.
 
-    def read_available(self):
-        """Hand the parser what has come; False when nothing has."""
+        Raises:
+            ConnectionClosed: the connection is over.
+        """
         try:
             with self.buffers.borrow() as buffer:
-                size, notes, _, _ = self.socket.recvmsg_into([buffer], STAMP_ROOM)
-                for level, kind, data in notes:
-                    if (level, kind) == (socket.SOL_SOCKET, STAMP) and len(data) == STAMPED.size:
-                        seconds, nanos = STAMPED.unpack(data)
-                        self.received_at = seconds * 1000.0 + nanos / 1e6
+                size, ancillary_data, _, _ = self.socket.recvmsg_into([buffer], timestamps.ANCILLARY_BYTES)
+                received_at = timestamps.received_at_ms(ancillary_data)
+                if received_at is not None:
+                    self.received_at = received_at
                 self.parser.receive_data(bytes(buffer[:size]))
         except BlockingIOError:
             return False
         except (OSError, RuntimeError):  # the latter: the parser was told of the end before
-            raise ConnectionClosed(True) from None
+            raise ConnectionClosed(request_was_written=True) from None
         return True
 
-    async def read(self):
-        """Wait for bytes and feed them to the parser; Broken when the connection is over."""
+    async def read(self) -> None:
+        """Wait for bytes and hand them to the parser.
+
+        Raises:
+            ConnectionClosed: the connection is over.
+        """
         while not self.read_available():
-            await self._when(anyio.wait_readable)
+            await self._wait(anyio.wait_readable)
+
+    async def wait_until_readable(self) -> None:
+        """Wait until there are bytes to read, or the peer's end.
 
-    def peer_has_closed(self):
-        """The other side has closed, whatever of it is still unread."""
+        Raises:
+            ConnectionClosed: the connection was closed here.
+        """
+        await self._wait(anyio.wait_readable)
+
+    async def _wait(self, wait_until_ready: Callable[[socket.socket], Awaitable[None]]) -> None:
         try:
-            return self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in LEFT
-        except OSError:
+            await wait_until_ready(self.socket)
+        except (anyio.ClosedResourceError, OSError, ValueError):
+            # Closed here while this task waited.
+            raise ConnectionClosed(request_was_written=True) from None
+
+    def is_untouched(self) -> bool:
+        """Whether nothing has arrived since the last read: neither the peer's end nor stray bytes."""
+        try:
+            self.socket.recv(1, socket.MSG_PEEK)
+        except BlockingIOError:
             return True
+        except OSError:
+            pass
+        return False
 
-    async def wait_until_readable(self):
-        """Wait until there is something to read, or the end."""
-        await self._when(anyio.wait_readable)
+    def peer_has_closed(self) -> bool:
+        """Whether the peer has closed, whatever of it is still unread."""
+        try:
+            state = self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
+        except OSError:
+            return True
+        return state in (TCP_CLOSE, TCP_CLOSE_WAIT)
 
-    async def _when(self, can):
+    def is_all_acknowledged(self) -> bool:
+        """Whether the peer's host has acknowledged all that was written; True where it cannot be told."""
         try:
-            await can(self.socket)
-        except (anyio.ClosedResourceError, OSError, ValueError):
-            raise ConnectionClosed(True) from None  # closed here while this task waited
+            return not any(fcntl.ioctl(self.socket, termios.TIOCOUTQ, UNACKNOWLEDGED_BYTES.pack(0)))
+        except OSError:
+            return True
 
-    def shutdown_write(self):
-        """End our side. Whoever waits to read is woken, and finds it broken."""
-        # The other side has closed or reset it.
+    def shutdown_write(self) -> None:
+        """End our side. A task that waits to read wakes up with ConnectionClosed."""
+        # The peer may have closed or reset it already.
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
         anyio.notify_closing(self.socket)
 
-    async def shutdown_and_drain(self, most_ms):
-        """End our side, and read on until the other ends too: else a reset may overtake the answer."""
-        with anyio.move_on_after(most_ms / 1000.0):
-            try:
-                self.socket.shutdown(socket.SHUT_WR)
-                while True:
-                    await self._when(anyio.wait_readable)
-                    if self._drop():
-                        return
-            except (OSError, ConnectionClosed):
-                pass
-
-    def _drop(self):
-        """Read and forget what has come; True at the end.
-
-        Much at once, for each wait costs more than a read.
+    async def shutdown_and_drain(self, timeout_ms: float) -> None:
+        """End our side, and read until the peer ends too or the time is up.
+
+        A close over unread bytes would send a reset, which may overtake the response.
+        """
+        with anyio.move_on_after(timeout_ms / 1000.0), contextlib.suppress(OSError, ConnectionClosed):
+            self.socket.shutdown(socket.SHUT_WR)
+            while True:
+                await self._wait(anyio.wait_readable)
+                if self._discard_available():
+                    return
+
+    def _discard_available(self) -> bool:
+        """Read and forget what has arrived, much at once, for a wait costs more than a read.
+
+        Returns:
+            Whether the peer has ended its side.
         """
         with self.buffers.borrow() as buffer:
-            for _ in range(DROPPED_AT_ONCE):
+            for _ in range(MAX_READS_DISCARDED_AT_ONCE):
                 try:
                     if not self.socket.recv_into(buffer):
                         return True
@@ -132,87 +199,53 @@
                     break
         return False
 
-    def is_untouched(self):
-        """Nothing has come since the last answer: neither an end nor stray bytes."""
-        try:
-            self.socket.recv(1, socket.MSG_PEEK)
-        except BlockingIOError:
-            return True
-        except OSError:
-            pass
-        return False
-
-    def close(self):
-        """Whoever waits on it is woken, and finds it broken."""
+    def close(self) -> None:
+        """Close the socket. A task that waits on it wakes up with ConnectionClosed."""
         if self.socket.fileno() >= 0:
             anyio.notify_closing(self.socket)
             self.socket.close()
 
-    def reset(self):
-        """Close, and let nothing more arrive of what was written: the kernel would go on for minutes."""
-        # It is over, or the kernel closes in its own way.
+    def reset(self) -> None:
+        """Close, and stop delivery of what was written: the kernel would go on for minutes."""
+        # Where the connection is over already, an ordinary close does.
         with contextlib.suppress(OSError):
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOT_AT_ALL)
         self.close()
 
-    def is_all_acknowledged(self):
-        """Whether the other machine has acknowledged all that was written.
 
-        So, too, where the kernel can't say.
-        """
-        try:
-            return not any(fcntl.ioctl(self.socket, termios.TIOCOUTQ, COUNT.pack(0)))
-        except OSError:
-            return True
+async def connect(
+    address: Address, buffers: BufferPool, parser: h11.Connection, timeout_ms: float = math.inf
+) -> Connection:
+    """Open a connection to `address`.
 
-
-async def connect(address, buffers, parser, patience_ms=math.inf):
-    """A connection to (host, port); Broken when it is refused, or never comes up within our patience."""
+    Raises:
+        ConnectionClosed: it was refused, did not come up within `timeout_ms`, or no descriptor is free.
+    """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:  # no descriptor is free
-        raise ConnectionClosed(False) from None
+        raise ConnectionClosed(request_was_written=False) from None
     try:
-        sock.setblocking(False)
-        code = sock.connect_ex(address)
-        if code == errno.EINPROGRESS:
-            with anyio.move_on_after(patience_ms / 1000.0):
-                await anyio.wait_writable(sock)
-            # Also after our patience: a process that stood still may find it up, or refused, beside the
-            # timer.
-            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if not code:
-                sock.getpeername()
-        if code:
-            raise ConnectionClosed(False, code == errno.ECONNREFUSED)
+        await _establish(sock, address, timeout_ms)
         return Connection(sock, buffers, parser)
-    except BaseException as fault:
-        sock.close()
-        if isinstance(fault, OSError):
-            raise ConnectionClosed(False) from None
-        raise
-
-
-def open_listener(address, backlog):
-    """A socket that listens on (host, port).
-
-    So many may wait there to be accepted, or as many as the kernel lets.
-    """
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind(address)
-        sock.listen(backlog)
-        sock.setblocking(False)
     except OSError:
+        sock.close()
+        raise ConnectionClosed(request_was_written=False) from None
+    except BaseException:
         sock.close()
         raise
-    return sock
 
 
-def parse_address(text):
-    """Parse "10.0.0.4:9000" into (host, port); ValueError when it is no such thing."""
-    host, _, port = str(text).rpartition(":")
-    if not host or not 0 < int(port) < 65536:
-        raise ValueError(f"no address: {text!r}")
-    return host, int(port)
+async def _establish(sock: socket.socket, address: Address, timeout_ms: float) -> None:
+    sock.setblocking(False)
+    error = sock.connect_ex(address)
+    if error == errno.EINPROGRESS:
+        with anyio.move_on_after(timeout_ms / 1000.0):
+            await anyio.wait_writable(sock)
+        # Also after the timeout: a process that was suspended may find the connection up, or refused, at
+        # the same moment as its timer.
+        error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if not error:
+            sock.getpeername()  # raises while it is not up
+    if error:
+        raise ConnectionClosed(request_was_written=False, was_refused=error == errno.ECONNREFUSED)
--- a/swiftthread/network/connection_pool.py
+++ b/swiftthread/network/connection_pool.py
@@ -1,60 +1,87 @@
 """Idle connections to endpoints, kept for the next call."""
 
 from collections import deque
+from collections.abc import Callable
+from typing import NamedTuple
+
+from swiftthread.network.address import Address
+from swiftthread.network.connection import Connection
+
+
+class PoolKey(NamedTuple):
+    """What a connection leads to: an address can pass from one endpoint to the next."""
+
+    endpoint_id: str
+    address: Address | None
+    """None while no endpoint list names the endpoint; there are no connections to it then."""
 
 
 class ConnectionPool:
-    """Owner of idle connections. One is out of here while a call is on it, and back or closed after it."""
+    """Owner of the idle connections.
+
+    A connection is out of the pool while a call uses it, and afterwards released to the pool or closed.
+    """
 
-    def __init__(self, clock, most_idle_ms, most):
-        self.clock, self.max_idle_ms, self.max_connections = clock, most_idle_ms, most
-        # (endpoint id, address) -> connections, oldest first; emptied by use, age, closes or an end
-        self.idle = {}
+    def __init__(self, clock: Callable[[], float], max_idle_ms: float, max_connections: int) -> None:
+        self.clock = clock
+        self.max_idle_ms = max_idle_ms
+        self.max_connections = max_connections
+        # Oldest first; a key without connections is removed.
+        self.idle: dict[PoolKey, deque[Connection]] = {}
         self.count = 0
 
-    def acquire(self, place):
-        """The connection used last, if one is still good, else None."""
+    def acquire(self, key: PoolKey) -> Connection | None:
+        """Take out the most recently used connection that is still good; None when there is none."""
         self.close_expired()
-        while place in self.idle:
-            connection = self._out(place, newest=True)
+        while key in self.idle:
+            connection = self._take_newest(key)
             if connection.is_untouched():
                 return connection
             connection.close()
         return None
 
-    def release(self, place, connection):
+    def release(self, key: PoolKey, connection: Connection) -> None:
         """Keep a connection that a call is done with."""
         connection.idle_since = self.clock()
-        self.idle.setdefault(place, deque()).append(connection)
+        self.idle.setdefault(key, deque()).append(connection)
         self.count += 1
         self.close_expired()
         while self.count > self.max_connections:
-            self._close_oldest(min(self.idle, key=lambda at: self.idle[at][0].idle_since))
+            self._close_oldest(min(self.idle, key=self._oldest_idle_since))
 
-    def close_idle(self, place):
-        """Close the idle connections to one place."""
-        while place in self.idle:
-            self._close_oldest(place)
+    def close_idle(self, key: PoolKey) -> None:
+        """Close the idle connections of one key."""
+        while key in self.idle:
+            self._close_oldest(key)
 
-    def close_all(self):
+    def close_all(self) -> None:
         """Close all idle connections."""
-        for place in list(self.idle):
-            self.close_idle(place)
+        for key in list(self.idle):
+            self.close_idle(key)
 
-    def close_expired(self):
+    def close_expired(self) -> None:
         """Close what has idled so long that the endpoint may close it while a call is under way to it."""
         limit = self.clock() - self.max_idle_ms
-        for place in list(self.idle):
-            while place in self.idle and self.idle[place][0].idle_since <= limit:
-                self._close_oldest(place)
+        for key in list(self.idle):
+            while key in self.idle and self._oldest_idle_since(key) <= limit:
+                self._close_oldest(key)
 
-    def _close_oldest(self, place):
-        self._out(place, newest=False).close()
+    def _oldest_idle_since(self, key: PoolKey) -> float:
+        idle_since = self.idle[key][0].idle_since
+        assert idle_since is not None  # set by release
+        return idle_since
 
-    def _out(self, place, newest):
-        kept = self.idle[place]
-        connection = kept.pop() if newest else kept.popleft()
-        self.count -= 1
-        if not kept:
-            del self.idle[place]
+    def _take_newest(self, key: PoolKey) -> Connection:
+        connection = self.idle[key].pop()
+        self._note_removal(key)
         return connection
+
+    def _close_oldest(self, key: PoolKey) -> None:
+        connection = self.idle[key].popleft()
+        self._note_removal(key)
+        connection.close()
+
+    def _note_removal(self, key: PoolKey) -> None:
+        self.count -= 1
+        if not self.idle[key]:
+            del self.idle[key]
--- /dev/null
+++ b/swiftthread/network/listener.py
@@ -0,0 +1,27 @@
+"""Listening sockets."""
+
+import socket
+
+from swiftthread.network.address import Address
+
+
+def open_listener(address: Address, backlog: int) -> socket.socket:
+    """Open a non-blocking socket that listens on `address`.
+
+    Args:
+        address: Where to listen.
+        backlog: Connections that may wait to be accepted; the kernel may allow fewer.
+
+    Raises:
+        OSError: the address cannot be bound, or no descriptor is free.
+    """
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(address)
+        listener.listen(backlog)
+        listener.setblocking(False)
+    except OSError:
+        listener.close()
+        raise
+    return listener
