--- a/swiftthread/server/__init__.py
+++ b/swiftthread/server/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 server of a node, on which clients hand in events."""
+"""HTTP/1.1 server of a node, on which clients submit events."""
--- a/swiftthread/server/messages.py
+++ b/swiftthread/server/messages.py
@@ -1,4 +1,4 @@
-"""What the HTTP server is told of a submitted event."""
+"""What the parts of the server, and the node behind it, tell each other of a request."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,3 +13,15 @@
     """Called once the answer is written, or the client turned out to be gone."""
     retry_after_ms: float = 0.0
     """When the client had best retry; 0 is no advice."""
+
+
+class BadRequest(Exception):
+    """A request that is answered with an error status; its connection ends.
+
+    Attributes:
+        status: The HTTP status to answer with.
+    """
+
+    def __init__(self, status: int) -> None:
+        super().__init__(f"rejected with {status}")
+        self.status = status
--- /dev/null
+++ b/swiftthread/server/request_reader.py
@@ -0,0 +1,118 @@
+"""Reading of requests from a connection, within the times that a client may take."""
+
+from collections.abc import Callable
+from http import HTTPStatus
+
+import anyio
+import h11
+
+from swiftthread.network.connection import Connection, ConnectionClosed
+from swiftthread.server.admission_queue import AdmissionQueue
+from swiftthread.server.connection_table import ConnectionState, ConnectionTable
+from swiftthread.server.messages import BadRequest
+from swiftthread.server.submission import MAX_BODY_BYTES, Request, check_head
+
+# Looked up once: the state is compared for every part of a request.
+IN_REQUEST = ConnectionState.IN_REQUEST
+
+
+class RequestReader:
+    """Reads the requests of all connections, each once the admission queue lets it."""
+
+    def __init__(
+        self,
+        connections: ConnectionTable,
+        admission_queue: AdmissionQueue,
+        wall_clock: Callable[[], float],
+        first_request_ms: float,
+        request_ms: float,
+        idle_ms: float,
+    ) -> None:
+        """Create a reader.
+
+        Args:
+            connections: States of the connections.
+            admission_queue: Where a request waits before it is read.
+            wall_clock: Gives Unix ms.
+            first_request_ms: From the accept to the last byte of the first request.
+            request_ms: From the first byte of a request to its last.
+            idle_ms: From an answer to the first byte of the next request.
+        """
+        self._connections = connections
+        self._admission_queue = admission_queue
+        self._wall_clock = wall_clock
+        self._first_request_ms = first_request_ms
+        self._request_ms = request_ms
+        self._idle_ms = idle_ms
+
+    async def read(self, connection: Connection, is_first: bool) -> Request:
+        """Wait for the next request and read it.
+
+        Args:
+            connection: Where from.
+            is_first: Whether it is the connection's first request.
+
+        Raises:
+            BadRequest: it is malformed or takes too long.
+            ConnectionClosed: the connection ended, or no request came in time.
+        """
+        timeout_s = (self._first_request_ms if is_first else self._idle_ms) / 1000.0
+        while True:
+            with anyio.move_on_after(timeout_s) as timeout:
+                return await self._read_parts(connection, is_first, timeout)
+            if self._connections.state_of(connection) is IN_REQUEST:
+                raise BadRequest(HTTPStatus.REQUEST_TIMEOUT)
+            if connection.is_untouched() or not connection.read_available():
+                raise ConnectionClosed(request_was_written=True)
+            # Its first bytes arrived at the same moment as the timeout.
+
+    async def _read_parts(
+        self, connection: Connection, is_first: bool, timeout: anyio.CancelScope
+    ) -> Request:
+        head: h11.Request | None = None
+        body = bytearray()
+        received_at_ms: float | None = None
+        while True:
+            if (
+                self._connections.state_of(connection) is not IN_REQUEST
+                and connection.parser.trailing_data[0]
+            ):
+                self._begin_request(connection, is_first, timeout)
+                received_at_ms = connection.received_at
+            part = self._next_part(connection)
+            if part is h11.NEED_DATA:
+                await self._receive(connection)
+            elif isinstance(part, h11.Request):
+                head = part
+                check_head(head)
+            elif isinstance(part, h11.Data):
+                body += part.data
+                if len(body) > MAX_BODY_BYTES:
+                    raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            elif isinstance(part, h11.EndOfMessage):
+                assert head is not None  # the parser yields the head first
+                return Request(head, bytes(body), received_at_ms or self._wall_clock())
+            else:
+                raise ConnectionClosed(request_was_written=True)
+
+    def _begin_request(self, connection: Connection, is_first: bool, timeout: anyio.CancelScope) -> None:
+        self._connections.move(connection, IN_REQUEST)
+        deadline = anyio.current_time() + self._request_ms / 1000.0
+        timeout.deadline = min(deadline, timeout.deadline) if is_first else deadline
+
+    @staticmethod
+    def _next_part(connection: Connection) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
+        try:
+            return connection.parser.next_event()
+        except h11.RemoteProtocolError as error:
+            raise BadRequest(error.error_status_hint) from None
+
+    async def _receive(self, connection: Connection) -> None:
+        """Wait for more bytes, and for admission where they begin a request."""
+        if connection.parser.they_are_waiting_for_100_continue:
+            interim = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
+            await connection.write(connection.parser.send(interim))
+        await connection.wait_until_readable()
+        if self._connections.state_of(connection) is not IN_REQUEST:
+            await self._admission_queue.wait(connection)
+        connection.read_available()
