--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -34,6 +34,7 @@
 CAPACITY_POLL_S = 0.01
 # After a client that could not be accepted: no descriptor is free, most often.
 ACCEPT_PAUSE_S = 0.05
+EVENT_ADMITTED = HTTPStatus.ACCEPTED
 # Answers after which the connection ends, for the client and the node do not understand each other.
 CLOSING_STATUSES = (HTTPStatus.BAD_REQUEST, HTTPStatus.CONFLICT)
 
@@ -199,7 +200,7 @@
                 await write_response(connection, error.status, closes=True)
                 await self._close_gracefully(connection, BAD_REQUEST_DRAIN_MS)
                 return
-            if result.status == HTTPStatus.ACCEPTED:
+            if result.status == EVENT_ADMITTED:
                 idle_state = ConnectionState.IDLE_CLIENT
             closes = self.is_shutting_down or is_first and self._is_at_idle_limit()
             is_first = False
--- a/swiftthread/server/request_reader.py
+++ b/swiftthread/server/request_reader.py
@@ -10,7 +10,7 @@
 from swiftthread.server.admission_queue import AdmissionQueue
 from swiftthread.server.connection_table import ConnectionState, ConnectionTable
 from swiftthread.server.messages import BadRequest
-from swiftthread.server.submission import MAX_BODY_BYTES, Request, check_head
+from swiftthread.server.submission import MAX_BODY_BYTES, Request, RequestHead, parse_head
 
 # Looked up once: the state is compared for every part of a request.
 IN_REQUEST = ConnectionState.IN_REQUEST
@@ -69,7 +69,7 @@
     async def _read_parts(
         self, connection: Connection, is_first: bool, timeout: anyio.CancelScope
     ) -> Request:
-        head: h11.Request | None = None
+        head: RequestHead | None = None
         body = bytearray()
         received_at_ms: float | None = None
         while True:
@@ -83,8 +83,7 @@
             if part is h11.NEED_DATA:
                 await self._receive(connection)
             elif isinstance(part, h11.Request):
-                head = part
-                check_head(head)
+                head = parse_head(part)
             elif isinstance(part, h11.Data):
                 body += part.data
                 if len(body) > MAX_BODY_BYTES:
--- a/swiftthread/server/submission.py
+++ b/swiftthread/server/submission.py
@@ -22,32 +22,42 @@
 TOKEN = re.compile(r"[!-~]{1,200}")  # an event id or an idempotency key
 
 
+@dataclass(slots=True)
+class RequestHead:
+    """A request's line and headers."""
+
+    method: bytes
+    path: str
+    """The target without its query."""
+    headers: dict[bytes, bytes]
+    """Values by lower-case name; of several with one name, the last."""
+
+    def header(self, name: bytes) -> str:
+        """Return the value of a header; "" without it."""
+        return self.headers.get(name, b"").decode("latin-1")
+
+
 @dataclass(slots=True)
 class Request:
     """One request of a client."""
 
-    head: h11.Request
+    head: RequestHead
     body: bytes
     received_at_ms: float
     """Unix ms at which its first bytes arrived."""
 
-    @property
-    def path(self) -> str:
-        """The target without its query."""
-        return self.head.target.decode("latin-1").partition("?")[0]
-
     def is_health_check(self) -> bool:
         """Whether it asks after the node's health."""
-        return self.head.method == b"GET" and self.path == HEALTH_PATH
+        return self.head.method == b"GET" and self.head.path == HEALTH_PATH
 
 
-def check_head(head: h11.Request) -> None:
-    """Check what can be told before the body arrives.
+def parse_head(request: h11.Request) -> RequestHead:
+    """Return a request's head once it is checked, before the body arrives.
 
     Raises:
         BadRequest: the head can mean two things, or announces a body that is too long.
     """
-    headers = list(head.headers)  # h11 builds each pair anew for every iteration
+    headers = list(request.headers)  # h11 builds each pair anew for every iteration
     names = [name for name, _ in headers]
     lengths = [int(value) for name, value in headers if name == b"content-length"]
     if max(lengths, default=0) > MAX_BODY_BYTES:
@@ -57,6 +67,8 @@
     single_names = [name for name in names if name in SINGLE_HEADERS]
     if len(set(single_names)) < len(single_names):
         raise BadRequest(HTTPStatus.BAD_REQUEST)
+    path = request.target.decode("latin-1").partition("?")[0]
+    return RequestHead(request.method, path, dict(headers))
 
 
 def parse_submission(request: Request, stream_types: Container[str]) -> PendingEvent:
@@ -72,23 +84,23 @@
     Raises:
         BadRequest: the request submits no event.
     """
-    if request.head.method != b"POST":
+    head = request.head
+    if head.method != b"POST":
         raise BadRequest(HTTPStatus.NOT_FOUND)
-    headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in request.head.headers}
-    stream_type, _, path_entity = request.path.lstrip("/").partition("/")
+    stream_type, _, path_entity = head.path.lstrip("/").partition("/")
     if stream_type not in stream_types:
         raise BadRequest(HTTPStatus.NOT_FOUND)
-    if headers.get("x-lane", stream_type) != stream_type:
+    if b"x-lane" in head.headers and head.header(b"x-lane") != stream_type:
         raise BadRequest(HTTPStatus.BAD_REQUEST)
-    idempotency_key = headers.get("idempotency-key", "")
+    idempotency_key = head.header(b"idempotency-key")
     return PendingEvent(
-        event_id=_token(headers.get("x-txn", "")),
+        event_id=_token(head.header(b"x-txn")),
         idempotency_key=idempotency_key and _token(idempotency_key),
         stream_type=stream_type,
-        destination=_destination(headers.get("x-route-to", "")),
-        expires_at=request.received_at_ms + _remaining_ms(headers.get("x-remaining", "")),
-        tenant=headers.get("x-org"),
-        ordering_key=_ordering_key(path_entity or headers.get("x-entity", "")),
+        destination=_destination(head.header(b"x-route-to")),
+        expires_at=request.received_at_ms + _remaining_ms(head.header(b"x-remaining")),
+        tenant=head.header(b"x-org") if b"x-org" in head.headers else None,
+        ordering_key=_ordering_key(path_entity or head.header(b"x-entity")),
         body=request.body,
     )
 
