--- a/swiftthread/client/endpoint_call.py
+++ b/swiftthread/client/endpoint_call.py
@@ -77,8 +77,8 @@
         try:
             outcome = await self._attempt()
         except ConnectionClosed as closed:
-            outcome = SendOutcome.RESET if closed.written else SendOutcome.UNREACHABLE
-            is_refused = closed.refused
+            outcome = SendOutcome.RESET if closed.request_was_written else SendOutcome.UNREACHABLE
+            is_refused = closed.was_refused
         except Exception:  # guards the other calls: a fault in one is a reset of this one
             logger.exception("endpoint {}, address {}: a call failed", *self.key)
             outcome = SendOutcome.UNREACHABLE if self.connection is None else SendOutcome.RESET
--- a/swiftthread/client/endpoint_connections.py
+++ b/swiftthread/client/endpoint_connections.py
@@ -10,14 +10,11 @@
 from swiftthread.client.http_exchange import HttpResponse, client_parser
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection import Connection, ConnectionClosed, connect
-from swiftthread.network.connection_pool import ConnectionPool
+from swiftthread.network.connection_pool import ConnectionPool, PoolKey
 
 if TYPE_CHECKING:
     from swiftthread.routing.router import Endpoint
 
-EndpointKey = tuple[str | int, tuple[str, int] | None]
-"""Endpoint id and (host, port), which is None for an endpoint without a known address."""
-
 
 class EndpointConnections:
     """Acquires a connection for a call, and keeps or closes it after the call."""
@@ -36,17 +33,17 @@
         self.addresses = addresses
         self.connect_timeout_ms = connect_timeout_ms
 
-    def key_of(self, endpoint: Endpoint) -> EndpointKey:
+    def key_of(self, endpoint: Endpoint) -> PoolKey:
         """The key of an endpoint's connections now: an address can pass from one endpoint to the next."""
-        return endpoint.endpoint_id, self.addresses.get(endpoint.endpoint_id)
+        return PoolKey(endpoint.endpoint_id, self.addresses.get(endpoint.endpoint_id))
 
-    async def acquire(self, key: EndpointKey) -> Connection:
+    async def acquire(self, key: PoolKey) -> Connection:
         """A pooled connection, or a new one.
 
         Raises:
             ConnectionClosed: The endpoint has no address, or no connection to it came up.
         """
-        address = key[1]
+        address = key.address
         if address is None:
             raise ConnectionClosed(False)
         connection = self.pool.acquire(key)
@@ -55,7 +52,7 @@
             connection.enable_timestamps()
         return connection
 
-    def release(self, key: EndpointKey, connection: Connection | None, response: HttpResponse) -> None:
+    def release(self, key: PoolKey, connection: Connection | None, response: HttpResponse) -> None:
         """Keep the connection of a call that is over for the next call, or close it."""
         if connection is None:
             return
--- a/swiftthread/client/endpoint_list.py
+++ b/swiftthread/client/endpoint_list.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from swiftthread.client.http_exchange import UNREADABLE
-from swiftthread.network.connection import parse_address
+from swiftthread.network.address import parse_address
 from swiftthread.routing.messages import EndpointEntry
 
 Value = TypeVar("Value")
--- a/swiftthread/configuration/node_config.py
+++ b/swiftthread/configuration/node_config.py
@@ -9,7 +9,7 @@
     read_report_fields,
     read_settings,
 )
-from swiftthread.network.connection import parse_address
+from swiftthread.network.address import parse_address
 
 LATER = ("listen", "state", "limits", "settings")  # read at a start alone: what is held and out rests on them
 
--- a/swiftthread/service/startup.py
+++ b/swiftthread/service/startup.py
@@ -15,8 +15,8 @@
 from swiftthread.configuration.node_config import NodeConfig
 from swiftthread.configuration.settings_reader import MalformedInput
 from swiftthread.network.buffer_pool import BufferPool
-from swiftthread.network.connection import open_listener
 from swiftthread.network.connection_pool import ConnectionPool
+from swiftthread.network.listener import open_listener
 from swiftthread.server.http_server import HttpServer
 from swiftthread.service import limits as bounds
 from swiftthread.service.node import Node
--- a/tests/support/fake_servers.py
+++ b/tests/support/fake_servers.py
@@ -10,7 +10,7 @@
 
 import h11
 
-from swiftthread.network.connection import STAMP, STAMP_ROOM, STAMPED
+from swiftthread.network.timestamps import ANCILLARY_BYTES, SO_TIMESTAMPNS, TIMESPEC
 
 
 class FakeHttpServer:
@@ -23,7 +23,7 @@
     def __init__(self, answer, idle_s=None):
         self.answer, self.idle_s, self.accepted, self.conns = answer, idle_s, 0, []
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.listener.setsockopt(socket.SOL_SOCKET, STAMP, 1)  # whom it accepts has it too
+        self.listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)  # whom it accepts has it too
         self.came = (
             threading.local()
         )  # `at`: Unix s at which the kernel had the last byte of the request answered
@@ -67,10 +67,10 @@
             conn.close()
 
     def _recv(self, conn):
-        data, notes, _, _ = conn.recvmsg(65536, STAMP_ROOM)
+        data, notes, _, _ = conn.recvmsg(65536, ANCILLARY_BYTES)
         for level, kind, stamp in notes:
-            if (level, kind) == (socket.SOL_SOCKET, STAMP):
-                seconds, nanos = STAMPED.unpack(stamp)
+            if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
+                seconds, nanos = TIMESPEC.unpack(stamp)
                 self.came.at = seconds + nanos / 1e9
         return data
 
