--- a/swiftthread/lab/builds.py
+++ b/swiftthread/lab/builds.py
@@ -1,33 +1,47 @@
-"""Builds to compare: this tree, or another git revision in a worktree of its own, taken away afterwards."""
+"""Builds to compare: this source tree, or another git revision in a temporary worktree."""
 
 import shutil
 import subprocess
 import tempfile
+from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
 
-from swiftthread.lab.runner import SOURCE_TREE, RunError
+from swiftthread.lab.errors import GitError, RevisionError
 
+SOURCE_TREE = Path(__file__).parents[2]
+# The name of this source tree among revisions.
+TREE_REVISION = "tree"
 
-def _git(*arguments):
+
+def _git(command: str, *arguments: str) -> str:
+    """Return the output of a git command in this source tree."""
     completed = subprocess.run(
-        ["git", "-C", str(SOURCE_TREE), *arguments], capture_output=True, text=True, check=False
+        ["git", "-C", str(SOURCE_TREE), command, *arguments], capture_output=True, text=True, check=False
     )
     if completed.returncode:
-        raise RunError(f"git {arguments[0]}: {completed.stderr.strip().splitlines()[-1]}")
+        raise GitError(command, completed.stderr.strip().splitlines()[-1])
     return completed.stdout.strip()
 
 
 @contextmanager
-def source_tree(rev):
-    """The folder of a build; None or "tree": this one."""
-    if rev in (None, "tree"):
+def source_tree(revision: str | None) -> Iterator[Path]:
+    """Provide the folder of a build; a worktree is removed at the end.
+
+    Args:
+        revision: A git revision; None or `TREE_REVISION` for this source tree.
+
+    Raises:
+        RevisionError: There is no such revision.
+        GitError: The worktree cannot be made.
+    """
+    if revision in (None, TREE_REVISION):
         yield SOURCE_TREE
         return
     try:
-        commit = _git("rev-parse", "--verify", f"{rev}^{{commit}}")
-    except RunError:
-        raise RunError(f"{rev}: no such revision") from None
+        commit = _git("rev-parse", "--verify", f"{revision}^{{commit}}")
+    except GitError:
+        raise RevisionError(str(revision), "no such revision") from None
     folder = Path(tempfile.mkdtemp(prefix="lab-build-"))
     _git("worktree", "add", "--detach", "--force", str(folder), commit)
     try:
--- a/swiftthread/lab/capacity.py
+++ b/swiftthread/lab/capacity.py
@@ -1,10 +1,14 @@
-"""The limits of one node under closed-loop clients, beside the floor program and the baselines."""
+"""The capacity of one node under closed-loop clients, beside that of the floor program."""
 
 import json
+from collections.abc import Callable, Iterable, Iterator, Sequence
 from pathlib import Path
 
-from swiftthread.lab import incident_file, run_records
-from swiftthread.lab.runner import Run
+import msgspec
+
+from swiftthread.lab import incident_file, receiver_model, run_records
+from swiftthread.lab.referee import Count
+from swiftthread.lab.runner import NodeKind, Run, RunResult, read_folder_records
 
 INCIDENT_TEMPLATE = """
 format = 1
@@ -34,45 +38,103 @@
 room = 4000
 sockets = 4096
 """
-CLIENTS_PER_PROCESS = 128  # clients in one process of the load tool, so that none is the bottleneck
+# Clients in one process of the load generator, few enough that it is not the bottleneck.
+CLIENTS_PER_PROCESS = 128
+# The random seed of all runs.
+SEED = 1
+RESULTS_FILE = "limits.jsonl"
 
 
-async def measure(counts, seconds, into, report):
-    """For each number of clients one run of the floor and one of the node, beside each other in time."""
-    rows = []
-    for clients in counts:
-        processes = -(-clients // CLIENTS_PER_PROCESS)
-        incident = incident_file.parse(
-            INCIDENT_TEMPLATE.format(clients=clients, seconds=seconds, processes=processes), "limits"
-        )
-        for node in ("floor", "swiftthread"):
-            folder = Path(into) / f"{node}-{clients}"
-            cores = list(range(2 + processes))
-            row = await Run(incident, 1, node, folder, cpus=cores).execute()
-            row |= {"clients": clients} | _rates(folder, seconds)
-            rows.append(row)
-            report(f"{node} at {clients} clients: {row['acked_per_s']:.0f} acked a second")
-            with open(Path(into) / "limits.jsonl", "a", encoding="utf-8") as results_file:
-                results_file.write(json.dumps(row) + "\n")
-    return rows
-
-
-def _rates(folder, seconds):
-    """Acks a second while clients submitted, and the CPU spent until the last of them."""
-    rows = run_records.read_records(*sorted(folder.glob("*.rows")))
-    first = min(row.at for row in rows if isinstance(row, run_records.EventSubmitted))
-    acks = [row.at for row in rows if isinstance(row, run_records.ReplySent) and row.outcome == "done"]
-    ends_at = first + 1000.0 * seconds
-    inside = sum(at <= ends_at for at in acks)
-    return {"acked_per_s": inside / seconds, "acked_after": len(acks) - inside}
-
-
-def table(rows):
+class AckRate(msgspec.Struct):
+    """How fast events were acked.
+
+    Attributes:
+        per_second: Acks a second while clients submitted.
+        later_count: Acks after that.
+    """
+
+    per_second: float
+    later_count: int
+
+
+class CapacityResult(RunResult):
+    """The result of one run, as stored in `limits.jsonl`.
+
+    Attributes:
+        clients: The number of closed-loop clients.
+        acked_per_s: Acks a second while clients submitted.
+        acked_after: Acks after that.
+    """
+
+    clients: int
+    acked_per_s: float
+    acked_after: int
+
+
+async def measure(
+    client_counts: Iterable[int], seconds: float, folder: Path, report: Callable[[str], None]
+) -> list[CapacityResult]:
+    """Run the floor program and the node in turn with each number of clients.
+
+    Args:
+        client_counts: Numbers of closed-loop clients.
+        seconds: How long clients submit in each run.
+        folder: Where the runs' folders are made and their results are appended to `limits.jsonl`.
+        report: Called with one line for each result.
+
+    Raises:
+        RunError: A run could not be made.
+    """
+    results = []
+    for clients in client_counts:
+        for node in (NodeKind.FLOOR, NodeKind.SWIFTTHREAD):
+            result = await _measure_node(node, clients, seconds, folder / f"{node}-{clients}")
+            results.append(result)
+            report(f"{node} at {clients} clients: {result.acked_per_s:.0f} acked a second")
+            with open(folder / RESULTS_FILE, "a", encoding="utf-8") as results_file:
+                results_file.write(json.dumps(result.to_json_object()) + "\n")
+    return results
+
+
+async def _measure_node(node: NodeKind, clients: int, seconds: float, folder: Path) -> CapacityResult:
+    processes = -(-clients // CLIENTS_PER_PROCESS)
+    incident = incident_file.parse(
+        INCIDENT_TEMPLATE.format(clients=clients, seconds=seconds, processes=processes), "limits"
+    )
+    cores = list(range(2 + processes))
+    result = await Run(incident, SEED, node, folder, cores=cores).execute()
+    ack_rate = _ack_rate(read_folder_records(folder), seconds)
+    return CapacityResult(
+        **msgspec.structs.asdict(result),
+        clients=clients,
+        acked_per_s=ack_rate.per_second,
+        acked_after=ack_rate.later_count,
+    )
+
+
+def _ack_rate(records: Sequence[run_records.AnyRecord], seconds: float) -> AckRate:
+    """Return the rate of acks in the time in which clients submitted."""
+    starts_at = min(record.at for record in records if isinstance(record, run_records.EventSubmitted))
+    ends_at = starts_at + 1000.0 * seconds
+    acked_times = [
+        record.at
+        for record in records
+        if isinstance(record, run_records.ReplySent) and record.outcome == receiver_model.DONE
+    ]
+    count = sum(at <= ends_at for at in acked_times)
+    return AckRate(per_second=count / seconds, later_count=len(acked_times) - count)
+
+
+def table(results: Iterable[CapacityResult]) -> Iterator[str]:
+    """Yield the lines of a table of the results."""
     yield "clients  node         taken   acked  refused  acked/s  CPU ms/ack  p50 ms  p99 ms  RSS MiB  void"
-    for row in rows:
-        counts, hand_in = row["counts"], row["hand_in_ms"]
+    for result in results:
+        accepted = result.counts.get(Count.ACCEPTED, 0)
+        acked = result.counts.get(Count.ACKED, 0)
+        rejected = result.counts.get(Count.REJECTED, 0)
+        latency = result.submission_latency_ms
         yield (
-            f"{row['clients']:7}  {row['node']:11} {counts.get('taken', 0):6}  {counts.get('acked', 0):6}  "
-            f"{counts.get('refused', 0):7}  {row['acked_per_s']:7.0f}  {row['cpu_ms_per_acked']:10.2f}  "
-            f"{hand_in['p50']:6.1f}  {hand_in['p99']:6.1f}  {row['rss_mib']:7.0f}  {row['void'] or '-'}"
+            f"{result.clients:7}  {result.node:11} {accepted:6}  {acked:6}  {rejected:7}  "
+            f"{result.acked_per_s:7.0f}  {result.cpu_ms_per_acked:10.2f}  "
+            f"{latency.p50:6.1f}  {latency.p99:6.1f}  {result.rss_mib:7.0f}  {result.void or '-'}"
         )
--- /dev/null
+++ b/swiftthread/lab/referee/evidence.py
@@ -0,0 +1,232 @@
+"""The records of a run, joined by event, call, destination and node for the rules."""
+
+import math
+from collections import defaultdict
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from swiftthread.lab import receiver_model, run_records
+from swiftthread.lab.incident import Incident, Stream
+from swiftthread.lab.referee.node_lifecycle import NodeLifecycle, StateChange
+
+# Load of each further event of a batch, in calls with a single event.
+EXTRA_EVENT_LOAD = 0.05
+
+
+class Attempt:
+    """One delivery attempt: a call to an endpoint. All times in ms.
+
+    Attributes:
+        at: When the last byte of the request was received.
+        first_byte_at: When its first byte was received.
+        endpoint: The endpoint's name.
+        destination: The number of the endpoint's destination.
+        zone: The endpoint's zone.
+        outcome: What the endpoint replied; None when it did not.
+        replied_at: When the reply was written; infinite when none was.
+        retry_after_ms: The Retry-After of the reply; 0 for none.
+        disconnected_at: When the caller closed before a reply; infinite when it did not.
+    """
+
+    __slots__ = (
+        "at",
+        "first_byte_at",
+        "endpoint",
+        "destination",
+        "zone",
+        "outcome",
+        "replied_at",
+        "retry_after_ms",
+        "disconnected_at",
+    )
+
+    def __init__(self, record: run_records.CallReceived) -> None:
+        self.at = record.at
+        self.first_byte_at = record.first_byte_at
+        self.endpoint = record.endpoint
+        self.destination = record.destination
+        self.zone = record.zone
+        self.outcome: str | None = None
+        self.replied_at = math.inf
+        self.retry_after_ms = 0.0
+        self.disconnected_at = math.inf
+
+    def ended_at(self) -> float:
+        """Return when the attempt was no longer in flight on an open connection."""
+        return min(self.replied_at, self.disconnected_at)
+
+    def was_rejected(self) -> bool:
+        """Return whether the endpoint rejected the call before any work, so that it cannot have run."""
+        return self.outcome in (receiver_model.RATE_LIMITED, receiver_model.UNAVAILABLE)
+
+    def is_acked(self) -> bool:
+        """Return whether the endpoint acknowledged the call."""
+        return self.outcome == receiver_model.DONE
+
+
+class SubmittedEvent:
+    """One submission of an event, its attempts and its notifications. All times in ms.
+
+    Attributes:
+        event_id: The id of this submission.
+        original_id: The id of the event's first submission.
+        node: The node it was submitted to.
+        destination: The number of its destination.
+        stream: Its stream type.
+        subject: Its ordering subject; empty for none.
+        expires_at: When its maximum age is reached.
+        submitted_at: When the client began to submit it.
+        scheduled_at: When the client was due to submit it.
+        status: The HTTP status of the answer; 0 for none in time, None when the client recorded nothing.
+        answered_at: When the client had the answer.
+        is_connection_broken: Whether the connection broke after the request was written in full.
+        attempts: Its delivery attempts.
+        notifications: Its outcomes as notified to the platform.
+    """
+
+    def __init__(self, record: run_records.EventSubmitted, stream: Stream) -> None:
+        self.event_id = record.event_id
+        self.original_id = record.original_id
+        self.node = record.node
+        self.destination = record.destination
+        self.stream = stream
+        self.subject = record.subject
+        self.expires_at = record.expires_at
+        self.submitted_at = record.at
+        self.scheduled_at = record.scheduled_at
+        self.status: int | None = None
+        self.answered_at = math.inf
+        self.is_connection_broken = False
+        self.attempts: list[Attempt] = []
+        self.notifications: list[run_records.NotificationReceived] = []
+
+    def is_accepted(self) -> bool:
+        """Return whether the client had a 202."""
+        return self.status == 202
+
+    def acked_at(self) -> float:
+        """Return when an endpoint first acknowledged the event; infinite when none did."""
+        return min([attempt.replied_at for attempt in self.attempts if attempt.is_acked()], default=math.inf)
+
+    def notified_at(self) -> float:
+        """Return when the platform was first notified of an outcome; infinite when it was not."""
+        return min([notification.at for notification in self.notifications], default=math.inf)
+
+    def outcome_at(self) -> float:
+        """Return when the event had its first outcome, an ack or a notification; infinite for none."""
+        return min(self.acked_at(), self.notified_at())
+
+
+class EndpointAnnouncement(NamedTuple):
+    """A node's endpoint list gave `state` for an endpoint from `at` (ms) on."""
+
+    at: float
+    state: str
+
+
+class LoadSample(NamedTuple):
+    """Load that a destination received at `at` (ms), in calls with a single event."""
+
+    at: float
+    load: float
+
+
+class UnknownEvent(NamedTuple):
+    """An event that was sent at `at` (ms) though no client had submitted it."""
+
+    at: float
+    event_id: str
+
+
+class Evidence:
+    """All records of a run, joined.
+
+    Attributes:
+        incident: The incident that was played.
+        events: Submissions by event id.
+        calls: Attempts by call number.
+        announcements: Endpoint states by node and endpoint, in order of time.
+        destination_changes: Outages and recoveries by destination.
+        lifecycles: The state changes of each node's process.
+        loads: Load received by destination, in order of time.
+        unknown_events: Events sent that no client submitted.
+        last_record_at: The time of the last record, in ms.
+    """
+
+    def __init__(self, incident: Incident, records: Sequence[run_records.AnyRecord]) -> None:
+        """Join the records, which must be in order of time."""
+        self.incident = incident
+        self.events: dict[str, SubmittedEvent] = {}
+        self.calls: dict[int, Attempt] = {}
+        self.announcements: dict[tuple[str, str], list[EndpointAnnouncement]] = defaultdict(list)
+        self.destination_changes: dict[int, list[run_records.DestinationChanged]] = defaultdict(list)
+        self.lifecycles: dict[str, NodeLifecycle] = defaultdict(NodeLifecycle)
+        self.loads: dict[int, list[LoadSample]] = defaultdict(list)
+        self.unknown_events: list[UnknownEvent] = []
+        self.last_record_at = records[-1].at if records else 0.0
+        self._add_submissions(records)
+        for record in records:
+            self._add_record(record)
+
+    def _add_submissions(self, records: Sequence[run_records.AnyRecord]) -> None:
+        """Add all submissions.
+
+        They come first, for a call may be recorded at the time of its submission and precede it in the
+        records.
+        """
+        streams = {stream.name: stream for stream in self.incident.stream}
+        for record in records:
+            if isinstance(record, run_records.EventSubmitted):
+                self.events[record.event_id] = SubmittedEvent(record, streams[record.stream])
+
+    def _add_record(self, record: run_records.AnyRecord) -> None:
+        match record:
+            case run_records.ClientAnswered():
+                self._add_answer(record)
+            case run_records.CallReceived():
+                self._add_call(record)
+            case run_records.ReplySent():
+                self._add_reply(record)
+            case run_records.CallerDisconnected():
+                self.calls[record.call].disconnected_at = record.at
+            case run_records.NotificationReceived():
+                if record.event_id in self.events:
+                    self.events[record.event_id].notifications.append(record)
+            case _:
+                self._add_environment_record(record)
+
+    def _add_environment_record(self, record: run_records.AnyRecord) -> None:
+        """Add a record that concerns no single event."""
+        match record:
+            case run_records.HealthCheckReceived():
+                self.loads[record.destination].append(LoadSample(record.at, 1.0))
+            case run_records.EndpointStateAnnounced():
+                announcement = EndpointAnnouncement(record.at, record.state)
+                self.announcements[record.node, record.endpoint].append(announcement)
+            case run_records.DestinationChanged():
+                self.destination_changes[record.destination].append(record)
+            case run_records.NodeLifecycleChanged():
+                self.lifecycles[record.node].changes.append(StateChange(record.at, record.state))
+
+    def _add_answer(self, record: run_records.ClientAnswered) -> None:
+        event = self.events[record.event_id]
+        event.status = record.status
+        event.answered_at = record.at
+        event.is_connection_broken = record.is_connection_broken
+
+    def _add_call(self, record: run_records.CallReceived) -> None:
+        attempt = Attempt(record)
+        self.calls[record.call] = attempt
+        load = 1.0 + EXTRA_EVENT_LOAD * (len(record.event_ids) - 1)
+        self.loads[record.destination].append(LoadSample(record.at, load))
+        for event_id in record.event_ids:
+            if event_id in self.events:
+                self.events[event_id].attempts.append(attempt)
+            else:
+                self.unknown_events.append(UnknownEvent(record.at, event_id))
+
+    def _add_reply(self, record: run_records.ReplySent) -> None:
+        attempt = self.calls[record.call]
+        attempt.outcome = record.outcome
+        attempt.replied_at = record.at
+        attempt.retry_after_ms = record.retry_after_ms
--- /dev/null
+++ b/swiftthread/lab/runner/nodes.py
@@ -0,0 +1,237 @@
+"""The nodes of a run: their configuration, their process and its restarts."""
+
+import json
+import os
+import shlex
+import signal
+import socket
+import sys
+from enum import StrEnum
+from pathlib import Path
+from typing import Any, Protocol
+
+import anyio
+import msgspec
+import psutil
+
+from swiftthread.lab.errors import ProcessError
+from swiftthread.lab.incident import Incident, NodeFault, Step
+from swiftthread.lab.node_settings import settings_for
+from swiftthread.lab.record_values import NodeState
+from swiftthread.lab.run_records import AnyRecord, NodeLifecycleChanged, ProcessSampled, monotonic_ms
+from swiftthread.lab.runner.processes import POLL_INTERVAL_S, READY_TIMEOUT_S, ManagedProcess
+
+# Time from SIGTERM to SIGKILL, in s; the platform's.
+STOP_TIMEOUT_S = 3.7
+# Time from a node's end to its next start unless the step gives one, in ms.
+RESTART_DELAY_MS = 600.0
+# Time for a response to a health check, in s.
+HEALTH_CHECK_TIMEOUT_S = 0.5
+# Random seed of the node 0 of a run with seed 0.
+NODE_SEED_BASE = 0x5EED0000
+# Distance between the random seeds of two runs; more than there are nodes.
+NODE_SEEDS_PER_RUN = 1000
+# Prefix of a node that is an arbitrary command.
+COMMAND_PREFIX = "exec:"
+BYTES_PER_MIB = 2**20
+
+
+class NodeKind(StrEnum):
+    """Programs that can run as a node, beside arbitrary commands."""
+
+    SWIFTTHREAD = "swiftthread"
+    ONCE = "once"
+    BACKOFF = "backoff"
+    AIMD = "aimd"
+    FLOOR = "floor"
+
+
+def command_for(node: str) -> list[str]:
+    """Return the command line of a node.
+
+    Args:
+        node: A `NodeKind`, or `exec:` and a command.
+    """
+    if node.startswith(COMMAND_PREFIX):
+        return shlex.split(node.removeprefix(COMMAND_PREFIX))
+    if node == NodeKind.SWIFTTHREAD:
+        return [sys.executable, "-m", "swiftthread"]
+    return [sys.executable, "-m", "swiftthread.lab", "relay", node]
+
+
+class EmulatorAddresses(msgspec.Struct):
+    """Where the emulator listens, as it prints it.
+
+    Attributes:
+        discovery: The address of discovery for each node.
+        known: The endpoint list that nodes are configured with.
+        feed: The address from which clients follow notifications.
+    """
+
+    discovery: list[str]
+    known: dict[str, Any]
+    feed: str
+
+
+class NodeHost(Protocol):
+    """What a node needs of the run it belongs to."""
+
+    incident: Incident
+    seed: int
+    node: str
+    tree: Path
+    folder: Path
+
+    def record(self, record: AnyRecord) -> None:
+        """Append a record to those of the run."""
+
+    def cores_for(self, number: int) -> list[int]:
+        """Return the cores that the node of this number is pinned to; empty for all."""
+
+
+class NodeProcess:
+    """One node of a run over all its restarts.
+
+    Attributes:
+        name: `n` and its number.
+        address: Where it listens.
+        process: Its present process; None before the first start.
+        cpu_ms: CPU time of its earlier processes, in ms.
+    """
+
+    def __init__(self, run: NodeHost, number: int, addresses: EmulatorAddresses) -> None:
+        self.run = run
+        self.number = number
+        self.name = f"n{number}"
+        self.process: ManagedProcess | None = None
+        self.process_info: psutil.Process | None = None
+        self.cpu_ms = 0.0
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            self.address: tuple[str, int] = ("127.0.0.1", listener.getsockname()[1])
+        state_folder = run.folder / self.name / "state"
+        state_folder.mkdir(parents=True)
+        self.configuration_path = run.folder / self.name / "config.json"
+        self.configuration_path.write_text(json.dumps(self._configuration(addresses, state_folder)))
+
+    def _configuration(self, addresses: EmulatorAddresses, state_folder: Path) -> dict[str, Any]:
+        """Return the node's start object."""
+        fleet = self.run.incident.fleet
+        seed = NODE_SEED_BASE + NODE_SEEDS_PER_RUN * self.run.seed + self.number
+        return {
+            "name": self.name,
+            "listen": self.listen_address(),
+            "discovery": addresses.discovery[self.number],
+            "seed": f"{seed:016x}",
+            "state": str(state_folder),
+            "known": addresses.known,
+            "settings": settings_for(self.run.incident, self.number),
+            "limits": {
+                "cores": 1.0,
+                "memory_mb": fleet.memory_mb,
+                "sockets": fleet.sockets,
+                "disk_mb": fleet.disk_mb,
+            },
+        }
+
+    def listen_address(self) -> str:
+        """Return its address as `host:port`."""
+        host, port = self.address
+        return f"{host}:{port}"
+
+    async def start(self) -> None:
+        """Start its process and wait until it is healthy.
+
+        Raises:
+            ProcessError: It ended, or was not healthy in time.
+        """
+        environment = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
+        environment |= {"LB_CONFIG": str(self.configuration_path), "PYTHONPATH": str(self.run.tree)}
+        process = ManagedProcess(
+            self.name,
+            command_for(self.run.node),
+            self.run.folder,
+            environment=environment,
+            cores=self.run.cores_for(self.number),
+            working_folder=self.run.tree,
+        )
+        self.process = process
+        self.process_info = psutil.Process(process.popen.pid)
+        with anyio.move_on_after(READY_TIMEOUT_S):
+            await self._wait_until_healthy(process)
+            self._record_state(NodeState.READY)
+            return
+        raise ProcessError(
+            self.name,
+            f"node {self.name} is not ready after {READY_TIMEOUT_S:.0f} s: {process.last_log_line()}",
+        )
+
+    async def _wait_until_healthy(self, process: ManagedProcess) -> None:
+        while not self._is_healthy():
+            if process.has_ended():
+                raise ProcessError(
+                    self.name,
+                    f"node {self.name} ended with {process.popen.returncode}: {process.last_log_line()}",
+                )
+            await anyio.sleep(POLL_INTERVAL_S)
+
+    def _is_healthy(self) -> bool:
+        try:
+            with socket.create_connection(self.address, timeout=HEALTH_CHECK_TIMEOUT_S) as connection:
+                connection.sendall(b"GET /_health HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n")
+                return connection.recv(100).startswith(b"HTTP/1.1 200")
+        except OSError:
+            return False
+
+    def _running_process(self) -> ManagedProcess:
+        assert self.process is not None, f"{self.name} was not started"
+        return self.process
+
+    def _record_state(self, state: NodeState) -> None:
+        self.run.record(NodeLifecycleChanged(monotonic_ms(), self.name, state))
+
+    def sample(self) -> float:
+        """Record its CPU time and memory; return the CPU time of its present process, in ms."""
+        assert self.process_info is not None, f"{self.name} was not started"
+        try:
+            cpu_times = self.process_info.cpu_times()
+            rss_bytes = self.process_info.memory_info().rss
+            open_descriptors = self.process_info.num_fds()
+        except psutil.Error:
+            # It is between two processes.
+            return 0.0
+        cpu_ms = 1000.0 * (cpu_times.user + cpu_times.system)
+        total_cpu_ms = self.cpu_ms + cpu_ms
+        rss_mib = rss_bytes / BYTES_PER_MIB
+        self.run.record(ProcessSampled(monotonic_ms(), self.name, total_cpu_ms, rss_mib, open_descriptors))
+        return cpu_ms
+
+    async def apply(self, step: Step) -> None:
+        """Apply a step of the incident to the node, and undo it when its time is over."""
+        if step.what == NodeFault.FREEZE:
+            await self._freeze(step.for_ms)
+            return
+        self.keep_cpu_time()
+        if step.what == NodeFault.KILL:
+            self._record_state(NodeState.KILLED)
+            self._running_process().kill()
+        else:
+            await self.stop()
+        await anyio.sleep((step.for_ms or RESTART_DELAY_MS) / 1000.0)
+        await self.start()
+
+    async def _freeze(self, duration_ms: float) -> None:
+        pid = self._running_process().popen.pid
+        os.kill(pid, signal.SIGSTOP)
+        await anyio.sleep(duration_ms / 1000.0)
+        os.kill(pid, signal.SIGCONT)
+
+    def keep_cpu_time(self) -> None:
+        """Add the CPU time of its present process to `cpu_ms`, before that ends."""
+        self.cpu_ms += self.sample()
+
+    async def stop(self) -> int | None:
+        """Ask it to stop; return its exit code, None when it had to be killed."""
+        self._record_state(NodeState.STOPPING)
+        process = self._running_process()
+        process.popen.terminate()
+        return await process.wait_for_exit(STOP_TIMEOUT_S)
--- a/tests/lab/test_incident_file.py
+++ b/tests/lab/test_incident_file.py
@@ -7,6 +7,9 @@
 import pytest
 
 from swiftthread.lab import experiment, incident_file, load
+from swiftthread.lab.experiment import MatrixResult
+from swiftthread.lab.node_settings import settings_for
+from swiftthread.lab.runner.result import SubmissionLatency
 from swiftthread.terms import terms_of
 
 GOOD = """
@@ -35,7 +38,7 @@
 def test_shipped_incidents_say_what_to_see_and_suit_a_node(name):
     incident = incident_file.load(name)
     assert len(incident.sees) > 60 and incident.drain_s * 1000.0 > max(s.max_age_ms for s in incident.stream)
-    terms, _ = terms_of(incident_file.settings_for(incident, 0))
+    terms, _ = terms_of(settings_for(incident, 0))
     assert len(terms["streams"]) == len(incident.stream)
 
 
@@ -127,17 +130,28 @@
 
 def results_of(name, before, after):
     return [
-        {
-            "name": name,
-            "load": 1.0,
-            "seed": seed,
-            "rev": rev,
-            "node": "swiftthread",
-            "measure": value,
-            "void": "",
-            "breaches": [],
-        }
-        for rev, values in (("a", before), ("b", after))
+        MatrixResult(
+            incident_title=name,
+            seed=seed,
+            node="swiftthread",
+            measure=value,
+            breaches=[],
+            counts={},
+            submission_latency_ms=SubmissionLatency(p50=1.0, p90=1.0, p99=1.0, max=1.0),
+            cpu_ms=0.0,
+            cpu_ms_per_acked=0.0,
+            rss_mib=0.0,
+            open_descriptors=0,
+            lag_ms={},
+            void="",
+            exit_codes={},
+            started_at_ms=0.0,
+            name=name,
+            load=1.0,
+            revision=revision,
+            folder="",
+        )
+        for revision, values in (("a", before), ("b", after))
         for seed, value in enumerate(values)
     ]
 
@@ -159,5 +173,5 @@
 def test_few_pairs_are_not_judged_and_void_runs_are_left_out():
     rows = results_of("x", [0.5, 0.5, 0.5], [0.9, 0.9, 0.9])
     assert "too few" in next(experiment.comparison(rows, "a", "b"))
-    rows[0]["void"] = "lag"
+    rows[0].void = "lag"
     assert "over 2 pairs" in next(experiment.comparison(rows, "a", "b"))
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -81,9 +81,10 @@
 
 
 @pytest.fixture(scope="module")
-def verdicts(tmp_path_factory):
+def results(tmp_path_factory):
     """The result of each planted day, and of quiet days of nodes that break nothing there."""
-    results, run_slots = {}, anyio.Semaphore(CONCURRENT_RUNS)
+    results_by_name = {}
+    run_slots = anyio.Semaphore(CONCURRENT_RUNS)
     incidents = {
         name: (name if name != "unlogged" else "Correct", text) for name, (text, _) in PLANTED.items()
     }
@@ -100,7 +101,8 @@
         incident = incident_file.parse(text, name)
         node = f"exec:{sys.executable} {WRONG_NODE} {kind}" if kind else "swiftthread"
         async with run_slots:
-            results[name] = await Run(incident, 7, node, tmp_path_factory.mktemp("run") / "r").execute()
+            folder = tmp_path_factory.mktemp("run") / "r"
+            results_by_name[name] = await Run(incident, 7, node, folder).execute()
 
     async def execute_all():
         async with anyio.create_task_group() as tasks:
@@ -108,20 +110,20 @@
                 tasks.start_soon(execute_one, name, kind, text)
 
     anyio.run(execute_all)
-    return results
+    return results_by_name
 
 
 @pytest.mark.parametrize("name", PLANTED)
-def test_a_planted_breach_is_caught(verdicts, name):
-    rules = {breach["rule"] for breach in verdicts[name]["breaches"]}
-    assert PLANTED[name][1] in rules, verdicts[name]
+def test_a_planted_breach_is_caught(results, name):
+    rules = {breach.rule for breach in results[name].breaches}
+    assert PLANTED[name][1] in rules, results[name]
 
 
 @pytest.mark.parametrize("name", ["quiet", "quiet in order", "swiftthread"])
-def test_nothing_is_made_up(verdicts, name):
-    assert verdicts[name]["breaches"] == []
-    assert verdicts[name]["counts"]["acked"] > 20
+def test_nothing_is_made_up(results, name):
+    assert results[name].breaches == []
+    assert results[name].counts["acked"] > 20
 
 
-def test_a_quiet_day_is_worth_all(verdicts):
-    assert verdicts["quiet"]["measure"] > 0.97
+def test_a_quiet_day_is_worth_all(results):
+    assert results["quiet"].measure > 0.97
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -294,8 +294,8 @@
     )
     recorded.attempt("b.1", 700.0, "done").submit("c", 200.0).notify("c", 900.0)
     evidence, _ = referee.judge(INCIDENT, sorted(recorded.rows, key=lambda row: row.at))
-    service = referee.ServiceMeasure(evidence)
-    assert service.offered == 3.0 and service.measure() == pytest.approx(2.0 / 3.0)
+    service = referee.measure_service(evidence)
+    assert service.total.offered == 3.0 and service.value == pytest.approx(2.0 / 3.0)
     assert (
         service.counts["events"] == 3 and service.counts["acked"] == 2 and service.counts["handed_back"] == 1
     )
