--- a/swiftthread/lab/capacity.py
+++ b/swiftthread/lab/capacity.py
@@ -3,6 +3,7 @@
 import json
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
@@ -45,7 +46,7 @@
 RESULTS_FILE = "limits.jsonl"
 
 
-class AckRate(msgspec.Struct):
+class AckRate(NamedTuple):
     """How fast events were acked.
 
     Attributes:
--- /dev/null
+++ b/swiftthread/lab/cli/run_commands.py
@@ -0,0 +1,163 @@
+"""Commands that run incidents: one run, a matrix, a comparison of builds, and the limits of one node."""
+
+import sys
+import tempfile
+from collections.abc import Iterator
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import click
+
+from swiftthread.lab import incident_file
+from swiftthread.lab.cli.support import EXIT_BROKEN_RULES, InvalidInput, load_incident, run_async
+from swiftthread.lab.incident import Incident
+
+if TYPE_CHECKING:
+    from swiftthread.lab.runner import RunResult
+
+MAX_PRINTED_BREACHES = 10
+
+
+def format_result(result: "RunResult") -> Iterator[str]:
+    """Yield the lines of a run's result for a terminal."""
+    from swiftthread.lab.record_values import EventOutcome
+    from swiftthread.lab.referee import Count
+
+    counts = result.counts
+    yield (
+        f"{result.incident_title} (seed {result.seed}, {result.node}): service {result.measure:.3f}, "
+        f"{len(result.breaches)} broken rules"
+    )
+    yield (
+        f"  {counts.get(Count.EVENTS, 0)} events, {counts.get(Count.ACKED, 0)} acked, "
+        f"{counts.get(Count.REJECTED, 0)} rejected at submission, "
+        f"{counts.get(EventOutcome.HANDED_BACK, 0)} handed back, "
+        f"{counts.get(EventOutcome.GIVEN_UP, 0)} given up"
+    )
+    latency = result.submission_latency_ms
+    yield (
+        f"  submission p50 {latency.p50:.1f} ms, p99 {latency.p99:.1f} ms; "
+        f"CPU {result.cpu_ms_per_acked:.2f} ms per acked event; RSS {result.rss_mib:.0f} MiB"
+    )
+    if result.void:
+        yield f"  VOID: {result.void}"
+    for breach in result.breaches[:MAX_PRINTED_BREACHES]:
+        yield f"  BROKEN {breach.describe()}"
+
+
+@click.command()
+@click.argument("path")
+@click.option("--seed", type=int, help="Of all chance; the incident's own by default.")
+@click.option(
+    "--node",
+    default="swiftthread",
+    show_default=True,
+    help="swiftthread, once, backoff, aimd, floor, or exec:COMMAND.",
+)
+@click.option("--rev", help="A git revision to take the node from instead of this tree.")
+@click.option("--into", type=click.Path(path_type=Path), help="A folder for rows, logs and the report.")
+@click.option("--report/--no-report", default=True, help="Write report.html there.")
+def run(path: str, seed: int | None, node: str, rev: str | None, into: Path | None, report: bool) -> None:
+    """Play one incident, judge it, and write a report."""
+    from swiftthread.lab.runner import COMMAND_PREFIX, NodeKind
+
+    incident = load_incident(path)
+    if node not in list(NodeKind) and not node.startswith(COMMAND_PREFIX):
+        raise InvalidInput(f"--node {node}: is none of {', '.join(NodeKind)} and no exec:COMMAND")
+    folder = into or Path(tempfile.mkdtemp(prefix="lab-"))
+    result = run_async(_execute_run, incident, incident.seed if seed is None else seed, node, rev, folder)
+    _show_progress("")
+    _show_progress("\r")
+    for line in format_result(result):
+        click.echo(line)
+    if report:
+        from swiftthread.lab.report import write_report
+
+        click.echo(f"  report: {write_report(folder)}")
+    sys.exit(EXIT_BROKEN_RULES if result.breaches else 0)
+
+
+async def _execute_run(
+    incident: Incident, seed: int, node: str, revision: str | None, folder: Path
+) -> "RunResult":
+    from swiftthread.lab import builds
+    from swiftthread.lab.runner import Run
+
+    with builds.source_tree(revision) as tree:
+        return await Run(incident, seed, node, folder, tree).execute(_show_progress)
+
+
+def _show_progress(text: str) -> None:
+    """Replace the present line of a terminal; nothing is shown elsewhere."""
+    if sys.stderr.isatty():
+        click.echo(f"\r{text:40}", err=True, nl=False)
+
+
+def _show_result_line(line: str) -> None:
+    click.echo(line, err=True)
+
+
+@click.command()
+@click.argument("paths", nargs=-1, required=True)
+@click.option("--seeds", default=3, show_default=True, help="Runs of each, with seeds 1 to this.")
+@click.option(
+    "--node", "nodes", multiple=True, default=("swiftthread",), show_default=True, help="May be repeated."
+)
+@click.option("--rev", "revs", multiple=True, help="Git revisions beside this tree; may be repeated.")
+@click.option("--load", "loads", multiple=True, type=float, help="x the incident's rate; may be repeated.")
+@click.option("--into", type=click.Path(path_type=Path), default=Path("lab-runs"), show_default=True)
+@click.option("--jobs", type=int, help="Runs at a time; by default as many as the cores allow.")
+def matrix(
+    paths: tuple[str, ...],
+    seeds: int,
+    nodes: tuple[str, ...],
+    revs: tuple[str, ...],
+    loads: tuple[float, ...],
+    into: Path,
+    jobs: int | None,
+) -> None:
+    """Play incidents x loads x seeds x builds, and report them beside each other."""
+    from swiftthread.lab import builds, experiment
+    from swiftthread.lab.report import write_matrix
+
+    incidents = {path: load_incident(path) for path in paths}
+    revisions = (builds.TREE_REVISION, *revs)
+    cells = experiment.cells(incidents, loads or (1.0,), range(1, seeds + 1), nodes, revisions)
+    results = run_async(experiment.play, cells, into, jobs, _show_result_line)
+    for line in experiment.summary(results):
+        click.echo(line)
+    click.echo(f"report: {write_matrix(results, into)}")
+    sys.exit(EXIT_BROKEN_RULES if any(result.breaches for result in results) else 0)
+
+
+@click.command()
+@click.argument("rev")
+@click.argument("paths", nargs=-1)
+@click.option("--seeds", default=5, show_default=True)
+@click.option("--into", type=click.Path(path_type=Path), default=Path("lab-runs"), show_default=True)
+@click.option("--jobs", type=int)
+def compare(rev: str, paths: tuple[str, ...], seeds: int, into: Path, jobs: int | None) -> None:
+    """What changed from a git revision to this tree, and whether it is more than chance."""
+    from swiftthread.lab import builds, experiment
+    from swiftthread.lab.runner import NodeKind
+
+    incidents = {path: load_incident(path) for path in paths or incident_file.shipped_names()}
+    revisions = (rev, builds.TREE_REVISION)
+    cells = experiment.cells(incidents, (1.0,), range(1, seeds + 1), (NodeKind.SWIFTTHREAD,), revisions)
+    results = run_async(experiment.play, cells, into, jobs, _show_result_line)
+    for line in experiment.comparison(results, *revisions):
+        click.echo(line)
+
+
+@click.command()
+@click.option("--clients", "counts", multiple=True, type=int, default=(8, 32, 128, 512), show_default=True)
+@click.option("--seconds", default=6.0, show_default=True, help="Of submissions for each row.")
+@click.option("--into", type=click.Path(path_type=Path))
+def limits(counts: tuple[int, ...], seconds: float, into: Path | None) -> None:
+    """One node's limits at closed-loop clients, beside the floor program."""
+    from swiftthread.lab import capacity
+
+    folder = into or Path(tempfile.mkdtemp(prefix="lab-limits-"))
+    results = run_async(capacity.measure, counts, seconds, folder, _show_result_line)
+    for line in capacity.table(results):
+        click.echo(line)
--- a/tests/lab/test_incident_file.py
+++ b/tests/lab/test_incident_file.py
@@ -1,4 +1,4 @@
-"""Incident files: the shipped ones can be used; what is wrong is said in one line with file and key."""
+"""Incident files: the shipped ones are valid; each error is one line with file and key."""
 
 import subprocess
 import sys
@@ -23,26 +23,25 @@
 """
 
 
-def run_lab(*words, **more):
+def run_lab(*arguments):
     return subprocess.run(
-        [sys.executable, "-m", "swiftthread.lab", *words],
+        [sys.executable, "-m", "swiftthread.lab", *arguments],
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
-        **more,
     )
 
 
 @pytest.mark.parametrize("name", incident_file.shipped_names())
-def test_shipped_incidents_say_what_to_see_and_suit_a_node(name):
+def test_shipped_incidents_are_described_and_valid_for_a_node(name):
     incident = incident_file.load(name)
     assert len(incident.sees) > 60 and incident.drain_s * 1000.0 > max(s.max_age_ms for s in incident.stream)
     terms, _ = terms_of(settings_for(incident, 0))
     assert len(terms["streams"]) == len(incident.stream)
 
 
-def test_there_are_twelve_at_least():
+def test_at_least_twelve_incidents_are_shipped():
     assert len(incident_file.shipped_names()) >= 12
 
 
@@ -68,15 +67,15 @@
         ("lasts_s = [", "no TOML"),
     ],
 )
-def test_faults_name_the_key(more, message, tmp_path):
+def test_errors_name_the_key(more, message, tmp_path):
     path = tmp_path / "bad.toml"
     path.write_text(GOOD + more if not more.startswith("lasts_s") else more)
-    with pytest.raises(incident_file.IncidentError) as fault:
+    with pytest.raises(incident_file.IncidentError) as raised:
         incident_file.load(str(path))
-    assert f"{path}: {message}" in str(fault.value)
+    assert f"{path}: {message}" in str(raised.value)
 
 
-def test_all_faults_of_all_files_at_once(tmp_path):
+def test_check_reports_all_errors_of_all_files(tmp_path):
     first, second = tmp_path / "one.toml", tmp_path / "two.toml"
     first.write_text(GOOD + "[[step]]\nat_ms = 5\nwhat = 'x'\n[[step]]\nat_ms = 4\nwhat = 'y'")
     second.write_text("format = 2")
@@ -89,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    "words, message",
+    "arguments, message",
     [
         (("run", "no-such"), "no-such: no such file"),
         (("run", "calm", "--node", "other"), "--node other: is none of"),
@@ -97,8 +96,8 @@
         (("compare", "nowhere", "calm"), "nowhere: no such"),
     ],
 )
-def test_bad_words_end_with_2_and_one_line(words, message, tmp_path):
-    completed = run_lab(*words, *(("--into", str(tmp_path / "r"))))
+def test_invalid_arguments_exit_with_2_and_one_line(arguments, message, tmp_path):
+    completed = run_lab(*arguments, "--into", str(tmp_path / "r"))
     assert completed.returncode == 2 and message in completed.stderr and "Traceback" not in completed.stderr
 
 
@@ -108,7 +107,7 @@
     assert "Traceback" not in completed.stderr
 
 
-def test_arrivals_are_of_the_seed_and_follow_the_bursts():
+def test_arrivals_repeat_with_the_seed_and_follow_the_bursts():
     incident = incident_file.load("crowd")
     rows = load.schedule(incident, 5)
     assert [(at, event.original_id, event.destination) for at, event in rows] == [
@@ -119,7 +118,7 @@
     assert inside == pytest.approx(270.0, rel=0.12) and outside == pytest.approx(90.0, rel=0.15)
 
 
-def test_skew_crowds_the_first_destinations():
+def test_skew_favours_the_first_destinations():
     base = incident_file.load("crowd")
     skewed = msgspec.structs.replace(base, load=msgspec.structs.replace(base.load, skew=1.5))
     first = [
@@ -163,14 +162,14 @@
         ([0.6, 0.5, 0.58, 0.62, 0.55, 0.57], "no more than chance"),
     ],
 )
-def test_what_is_more_than_chance(after, message):
+def test_comparison_says_what_is_more_than_chance(after, message):
     lines = list(
         experiment.comparison(results_of("x", [0.55, 0.56, 0.57, 0.58, 0.59, 0.54], after), "a", "b")
     )
     assert f"over 6 pairs: {message}" in lines[0]
 
 
-def test_few_pairs_are_not_judged_and_void_runs_are_left_out():
+def test_few_pairs_give_no_interval_and_void_runs_are_left_out():
     rows = results_of("x", [0.5, 0.5, 0.5], [0.9, 0.9, 0.9])
     assert "too few" in next(experiment.comparison(rows, "a", "b"))
     rows[0].void = "lag"
--- a/tests/lab/test_planted.py
+++ b/tests/lab/test_planted.py
@@ -1,4 +1,4 @@
-"""Runs over sockets with nodes that break one rule each: the referee catches each planted breach."""
+"""Runs over sockets with nodes that break one rule each: the referee names each planted breach."""
 
 import sys
 from pathlib import Path
@@ -10,7 +10,8 @@
 from swiftthread.lab.runner import Run
 
 WRONG_NODE = Path(__file__).with_name("wrong_node.py")
-CONCURRENT_RUNS = 4  # runs beside each other: four processes each are on eight cores without crowding them
+# Runs at a time: of four processes each, which do not crowd eight cores.
+CONCURRENT_RUNS = 4
 
 INCIDENT_TEMPLATE = """
 format = 1
@@ -53,7 +54,7 @@
 RESETS = step(200, "reset_after", share=0.5)
 ZONE = 'group = "zone"\nwindow_ms = 1000'
 SLOW = "service_ms = 150\nworkers = 64"
-# The node that breaks it, the day on which it shows, and the rule that must be named.
+# By node: the incident in which it breaks a rule, and the name of that rule.
 PLANTED = {
     "LosesEvents": (incident_text(), "one end"),
     "NotifiesTwice": (incident_text(), "one end"),
@@ -82,7 +83,7 @@
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory):
-    """The result of each planted day, and of quiet days of nodes that break nothing there."""
+    """Results by name of the incidents above, and of incidents in which no rule is broken."""
     results_by_name = {}
     run_slots = anyio.Semaphore(CONCURRENT_RUNS)
     incidents = {
@@ -114,16 +115,16 @@
 
 
 @pytest.mark.parametrize("name", PLANTED)
-def test_a_planted_breach_is_caught(results, name):
+def test_planted_breach_is_named(results, name):
     rules = {breach.rule for breach in results[name].breaches}
     assert PLANTED[name][1] in rules, results[name]
 
 
 @pytest.mark.parametrize("name", ["quiet", "quiet in order", "swiftthread"])
-def test_nothing_is_made_up(results, name):
+def test_no_breach_without_a_cause(results, name):
     assert results[name].breaches == []
     assert results[name].counts["acked"] > 20
 
 
-def test_a_quiet_day_is_worth_all(results):
+def test_nearly_full_utility_without_faults(results):
     assert results["quiet"].measure > 0.97
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -1,4 +1,4 @@
-"""The referee's rules on hand-written rows: just inside and just outside of each bound."""
+"""The referee's rules on hand-written records: just inside and just outside of each limit."""
 
 import pytest
 
@@ -48,13 +48,14 @@
 
 
 class RecordedRun:
-    """Rows, written as a story."""
+    """Builder of the records of a run; each method returns the builder."""
 
     def __init__(self):
-        self.rows, self.calls = [], 0
+        self.records = []
+        self.call_count = 0
 
     def submit(self, event_id, at=0.0, stream="idem", status=202, subject="", **more):
-        self.rows.append(
+        self.records.append(
             EventSubmitted(
                 at,
                 event_id,
@@ -68,7 +69,7 @@
                 at,
             )
         )
-        self.rows.append(ClientAnswered(at + 2.0, event_id, status))
+        self.records.append(ClientAnswered(at + 2.0, event_id, status))
         return self
 
     def attempt(
@@ -82,16 +83,16 @@
         disconnected_at=None,
         endpoint="d1-0",
     ):
-        self.calls += 1
-        self.rows.append(CallReceived(at, self.calls, [event_id], endpoint, 1, zone, at))
+        self.call_count += 1
+        self.records.append(CallReceived(at, self.call_count, [event_id], endpoint, 1, zone, at))
         if outcome:
-            self.rows.append(ReplySent(at + after, self.calls, outcome, wait))
+            self.records.append(ReplySent(at + after, self.call_count, outcome, wait))
         elif disconnected_at:
-            self.rows.append(CallerDisconnected(disconnected_at, self.calls))
+            self.records.append(CallerDisconnected(disconnected_at, self.call_count))
         return self
 
-    def add(self, *rows):
-        self.rows += rows
+    def add(self, *records):
+        self.records += records
         return self
 
     def notify(self, event_id, at, outcome="handed_back"):
@@ -100,8 +101,8 @@
     def broken_rules(self):
         # The run goes on long enough for every outcome to be due.
         end = NodeLifecycleChanged(60_000.0, "n9", "ready")
-        rows = sorted([*self.rows, end], key=lambda row: row.at)
-        return sorted({breach.rule for breach in referee.judge(INCIDENT, rows)[1]})
+        records = sorted([*self.records, end], key=lambda record: record.at)
+        return sorted({breach.rule for breach in referee.judge(INCIDENT, records).breaches})
 
 
 def acked(event_id, at=0.0, **more):
@@ -129,7 +130,7 @@
     ],
     ids=lambda value: None if isinstance(value, list) else "recorded",
 )
-def test_one_end(recorded, rules):
+def test_single_outcome(recorded, rules):
     assert recorded.broken_rules() == rules
 
 
@@ -172,7 +173,7 @@
         ("idem", "error", []),
     ],
 )
-def test_handed_back_only_where_it_can_do_no_harm(stream, outcome, rules):
+def test_handed_back_only_where_a_resubmission_is_safe(stream, outcome, rules):
     assert (
         RecordedRun().submit("a", stream=stream).attempt("a", 10.0, outcome).notify("a", 100.0).broken_rules()
         == rules
@@ -188,7 +189,7 @@
         ("SERVING", 1160.0, []),
     ],
 )
-def test_drains(state, at, rules):
+def test_draining(state, at, rules):
     recorded = (
         RecordedRun()
         .submit("a", 90.0)
@@ -206,8 +207,8 @@
 
 
 @pytest.mark.parametrize("calls, rules", [(16, []), (40, ["fall budget"])])
-def test_fall_budget(calls, rules):
-    # 20 calls a second, cold from 0.2: at its return 2 x 20 x 0.2 x 2 s = 16 calls in any 2 s, and the slack.
+def test_recovery_load(calls, rules):
+    # 20 calls a second, cold from 0.2: on recovery 2 x 20 x 0.2 x 2 s = 16 calls in any 2 s, and the slack.
     recorded = RecordedRun().add(
         DestinationChanged(1000.0, 1, "out", 0.02), DestinationChanged(2000.0, 1, "back", 0.02)
     )
@@ -222,9 +223,10 @@
         (60.0, ("done", {}), []),
         (30.0, ("done", {"after": 100.0}), ["order"]),
         (200.0, ("done", {"after": 100.0}), []),
+        # The first event is unfinished.
         (200.0, ("reset", {}), ["order"]),
     ],
-)  # the first is unfinished
+)
 def test_order(second_at, first, rules):
     outcome, more = first
     recorded = RecordedRun().submit("a", 0.0, "turn", subject="s").submit("b", 5.0, "turn", subject="s")
@@ -234,7 +236,7 @@
     assert recorded.broken_rules() == rules
 
 
-def test_other_subjects_and_nodes_are_free():
+def test_other_subjects_and_nodes_are_not_ordered():
     recorded = RecordedRun().submit("a", 0.0, "turn", subject="s").submit("b", 5.0, "turn", subject="t")
     recorded.submit("c", 6.0, "turn", subject="s", node="n1").attempt("b", 12.0, "done").attempt(
         "c", 13.0, "done"
@@ -245,13 +247,13 @@
 @pytest.mark.parametrize(
     "at, node, rules", [(110.0, "n0", []), (160.0, "n0", ["told wait"]), (160.0, "n1", []), (970.0, "n0", [])]
 )
-def test_waits(at, node, rules):
+def test_retry_after(at, node, rules):
     recorded = RecordedRun().submit("a", node="n0").attempt("a", 10.0, "full", wait=1000.0)
     recorded.submit("b", 5.0, node=node).attempt("b", at, "done").attempt("a", 2000.0, "done")
     assert recorded.broken_rules() == rules
 
 
-def test_a_restart_ends_a_wait():
+def test_a_restart_ends_a_retry_after():
     recorded = (
         RecordedRun()
         .submit("a")
@@ -261,7 +263,7 @@
     assert recorded.attempt("a", 400.0, "done").broken_rules() == []
 
 
-def test_logged_before_202():
+def test_accepted_events_survive_a_kill():
     recorded = (
         acked("a")
         .submit("b", 100.0)
@@ -271,7 +273,7 @@
     assert recorded.attempt("b", 1000.0, "done").broken_rules() == []
 
 
-def test_overdue_ends_wait_for_the_next_life():
+def test_overdue_outcomes_are_due_after_the_restart():
     recorded = (
         RecordedRun()
         .submit("a")
@@ -282,20 +284,21 @@
 
 
 @pytest.mark.parametrize(
-    "late, utility", [(0.0, 1.0), (1500.0, 1.0), (3250.0, 0.75), (5000.0, 0.5), (5000.1, 0.0)]
+    "delay_ms, utility", [(0.0, 1.0), (1500.0, 1.0), (3250.0, 0.75), (5000.0, 0.5), (5000.1, 0.0)]
 )
-def test_utility_of_an_ack(late, utility):
-    assert referee.utility_of_ack(INCIDENT.stream[0], late) == pytest.approx(utility)
+def test_utility_of_an_ack(delay_ms, utility):
+    assert referee.utility_of_ack(INCIDENT.stream[0], delay_ms) == pytest.approx(utility)
 
 
-def test_the_service_measure_counts_first_hand_ins():
+def test_the_service_measure_counts_first_submissions():
     recorded = (
         acked("a").submit("b", 100.0, status=503).submit("b.1", 600.0, original_id="b", expires_at=5100.0)
     )
     recorded.attempt("b.1", 700.0, "done").submit("c", 200.0).notify("c", 900.0)
-    evidence, _ = referee.judge(INCIDENT, sorted(recorded.rows, key=lambda row: row.at))
+    evidence, _ = referee.judge(INCIDENT, sorted(recorded.records, key=lambda record: record.at))
     service = referee.measure_service(evidence)
-    assert service.total.offered == 3.0 and service.value == pytest.approx(2.0 / 3.0)
-    assert (
-        service.counts["events"] == 3 and service.counts["acked"] == 2 and service.counts["handed_back"] == 1
-    )
+    assert service.total.offered == 3.0
+    assert service.value == pytest.approx(2.0 / 3.0)
+    assert service.counts["events"] == 3
+    assert service.counts["acked"] == 2
+    assert service.counts["handed_back"] == 1
