--- a/swiftthread/lab/errors.py
+++ b/swiftthread/lab/errors.py
@@ -1,5 +1,7 @@
 """Errors of runs. Their texts are one line each, for the command line."""
 
+from pathlib import Path
+
 
 class RunError(Exception):
     """A run that could not be made; the text says which part failed and why."""
@@ -44,5 +46,5 @@
 class RunFolderExistsError(RunError):
     """The folder of a run exists already."""
 
-    def __init__(self, folder: object) -> None:
+    def __init__(self, folder: Path) -> None:
         super().__init__(f"{folder}: is there already; name another folder with --into")
--- a/swiftthread/lab/experiment/matrix.py
+++ b/swiftthread/lab/experiment/matrix.py
@@ -22,7 +22,7 @@
 DEFAULT_JOBS = 64
 RESULTS_FILE = "runs.jsonl"
 
-Report = Callable[[str], None]
+ReportLine = Callable[[str], None]
 
 
 class MatrixCell(NamedTuple):
@@ -120,7 +120,7 @@
         results: The results so far.
     """
 
-    def __init__(self, folder: Path, total: int, jobs: int | None, report: Report) -> None:
+    def __init__(self, folder: Path, total: int, jobs: int | None, report: ReportLine) -> None:
         self.folder = folder
         self.total = total
         self.report = report
@@ -147,7 +147,7 @@
 
 
 async def play(
-    wanted: Sequence[MatrixCell], folder: Path, jobs: int | None, report: Report
+    wanted: Sequence[MatrixCell], folder: Path, jobs: int | None, report: ReportLine
 ) -> list[MatrixResult]:
     """Play all runs of a matrix; a void one is made once more.
 
--- a/swiftthread/lab/report/page.py
+++ b/swiftthread/lab/report/page.py
@@ -18,7 +18,11 @@
 FIGURE_SIZE_IN = (9, 3.2)
 FIGURE_DPI = 100
 
-TEMPLATES = Environment(loader=PackageLoader("swiftthread.lab"), autoescape=True)
+TEMPLATES = Environment(
+    loader=PackageLoader("swiftthread.lab"),
+    autoescape=True,
+    trim_blocks=True,
+)
 
 
 class Table(NamedTuple):
