--- a/swiftthread/lab/referee/evidence.py
+++ b/swiftthread/lab/referee/evidence.py
@@ -3,7 +3,8 @@
 import math
 from collections import defaultdict
 from collections.abc import Sequence
-from typing import NamedTuple
+from dataclasses import dataclass, field
+from typing import NamedTuple, Self
 
 from swiftthread.lab import receiver_model, run_records
 from swiftthread.lab.incident import Incident, Stream
@@ -13,6 +14,7 @@
 EXTRA_EVENT_LOAD = 0.05
 
 
+@dataclass(slots=True, eq=False)
 class Attempt:
     """One delivery attempt: a call to an endpoint. All times in ms.
 
@@ -28,28 +30,26 @@
         disconnected_at: When the caller closed before a reply; infinite when it did not.
     """
 
-    __slots__ = (
-        "at",
-        "first_byte_at",
-        "endpoint",
-        "destination",
-        "zone",
-        "outcome",
-        "replied_at",
-        "retry_after_ms",
-        "disconnected_at",
-    )
-
-    def __init__(self, record: run_records.CallReceived) -> None:
-        self.at = record.at
-        self.first_byte_at = record.first_byte_at
-        self.endpoint = record.endpoint
-        self.destination = record.destination
-        self.zone = record.zone
-        self.outcome: str | None = None
-        self.replied_at = math.inf
-        self.retry_after_ms = 0.0
-        self.disconnected_at = math.inf
+    at: float
+    first_byte_at: float
+    endpoint: str
+    destination: int
+    zone: str
+    outcome: str | None = None
+    replied_at: float = math.inf
+    retry_after_ms: float = 0.0
+    disconnected_at: float = math.inf
+
+    @classmethod
+    def from_record(cls, record: run_records.CallReceived) -> Self:
+        """Return the attempt that a call began, without a reply yet."""
+        return cls(
+            at=record.at,
+            first_byte_at=record.first_byte_at,
+            endpoint=record.endpoint,
+            destination=record.destination,
+            zone=record.zone,
+        )
 
     def ended_at(self) -> float:
         """Return when the attempt was no longer in flight on an open connection."""
@@ -64,6 +64,7 @@
         return self.outcome == receiver_model.DONE
 
 
+@dataclass(slots=True, eq=False)
 class SubmittedEvent:
     """One submission of an event, its attempts and its notifications. All times in ms.
 
@@ -84,21 +85,35 @@
         notifications: Its outcomes as notified to the platform.
     """
 
-    def __init__(self, record: run_records.EventSubmitted, stream: Stream) -> None:
-        self.event_id = record.event_id
-        self.original_id = record.original_id
-        self.node = record.node
-        self.destination = record.destination
-        self.stream = stream
-        self.subject = record.subject
-        self.expires_at = record.expires_at
-        self.submitted_at = record.at
-        self.scheduled_at = record.scheduled_at
-        self.status: int | None = None
-        self.answered_at = math.inf
-        self.is_connection_broken = False
-        self.attempts: list[Attempt] = []
-        self.notifications: list[run_records.NotificationReceived] = []
+    event_id: str
+    original_id: str
+    node: str
+    destination: int
+    stream: Stream
+    subject: str
+    expires_at: float
+    submitted_at: float
+    scheduled_at: float
+    status: int | None = None
+    answered_at: float = math.inf
+    is_connection_broken: bool = False
+    attempts: list[Attempt] = field(default_factory=list)
+    notifications: list[run_records.NotificationReceived] = field(default_factory=list)
+
+    @classmethod
+    def from_record(cls, record: run_records.EventSubmitted, stream: Stream) -> Self:
+        """Return the submission that a client began, without an answer yet."""
+        return cls(
+            event_id=record.event_id,
+            original_id=record.original_id,
+            node=record.node,
+            destination=record.destination,
+            stream=stream,
+            subject=record.subject,
+            expires_at=record.expires_at,
+            submitted_at=record.at,
+            scheduled_at=record.scheduled_at,
+        )
 
     def is_accepted(self) -> bool:
         """Return whether the client had a 202."""
@@ -177,7 +192,8 @@
         streams = {stream.name: stream for stream in self.incident.stream}
         for record in records:
             if isinstance(record, run_records.EventSubmitted):
-                self.events[record.event_id] = SubmittedEvent(record, streams[record.stream])
+                stream = streams[record.stream]
+                self.events[record.event_id] = SubmittedEvent.from_record(record, stream)
 
     def _add_record(self, record: run_records.AnyRecord) -> None:
         match record:
@@ -215,7 +231,7 @@
         event.is_connection_broken = record.is_connection_broken
 
     def _add_call(self, record: run_records.CallReceived) -> None:
-        attempt = Attempt(record)
+        attempt = Attempt.from_record(record)
         self.calls[record.call] = attempt
         load = 1.0 + EXTRA_EVENT_LOAD * (len(record.event_ids) - 1)
         self.loads[record.destination].append(LoadSample(record.at, load))
