--- a/swiftthread/lab/arrivals.py
+++ b/swiftthread/lab/arrivals.py
@@ -6,7 +6,7 @@
 from itertools import accumulate, count
 from typing import NamedTuple
 
-from swiftthread.lab.incident_file import Incident, Stream
+from swiftthread.lab.incident import Incident, Stream
 
 
 @dataclass(slots=True, eq=False)
--- a/swiftthread/lab/emulator/emulator.py
+++ b/swiftthread/lab/emulator/emulator.py
@@ -9,8 +9,8 @@
 from swiftthread.lab.emulator.fault_injector import FaultInjector
 from swiftthread.lab.emulator.notification_feed import NotificationFeed
 from swiftthread.lab.event_loop_lag import EventLoopLagMonitor
-from swiftthread.lab.incident_file import Destination as DestinationSettings
-from swiftthread.lab.incident_file import Incident, Rules
+from swiftthread.lab.incident import Destination as DestinationSettings
+from swiftthread.lab.incident import Incident, Rules
 from swiftthread.lab.outcomes import EndpointState
 from swiftthread.lab.rate_limit import RateLimit
 from swiftthread.lab.receiver_model import DestinationAvailabilityChanged, ModelEvent, ReceiverModel
--- a/swiftthread/lab/emulator/fault_injector.py
+++ b/swiftthread/lab/emulator/fault_injector.py
@@ -8,7 +8,7 @@
 from swiftthread.lab.emulator.discovery import DiscoveryServer, EndpointEntry
 from swiftthread.lab.emulator.endpoint_listener import EndpointListener
 from swiftthread.lab.faults import SELF_ENDING_FAULTS, SOCKET_FAULTS, Fault, FaultKind
-from swiftthread.lab.incident_file import Incident, Step
+from swiftthread.lab.incident import Incident, Step
 from swiftthread.lab.outcomes import DestinationChange, EndpointState
 from swiftthread.lab.receiver_model import ReceiverModel
 from swiftthread.lab.run_records import DestinationChanged, RecordWriter, monotonic_ms
--- a/swiftthread/lab/emulator/process.py
+++ b/swiftthread/lab/emulator/process.py
@@ -7,7 +7,7 @@
 
 from swiftthread.lab.control_channel import go_commands, open_stdin
 from swiftthread.lab.emulator.emulator import Emulator
-from swiftthread.lab.incident_file import Incident
+from swiftthread.lab.incident import Incident
 from swiftthread.lab.run_records import RecordWriter
 
 
--- a/swiftthread/lab/load.py
+++ b/swiftthread/lab/load.py
@@ -20,7 +20,7 @@
 from swiftthread.lab.control_channel import go_commands, open_stdin
 from swiftthread.lab.event_loop_lag import EventLoopLagMonitor
 from swiftthread.lab.http_client import NO_STATUS, ConnectionPool, HttpReply
-from swiftthread.lab.incident_file import Incident
+from swiftthread.lab.incident import Incident
 from swiftthread.lab.run_records import (
     ClientAnswered,
     EventSubmitted,
--- a/swiftthread/lab/outcomes.py
+++ b/swiftthread/lab/outcomes.py
@@ -44,3 +44,11 @@
     """Not executed, or safe to repeat: its client may submit it again."""
     GIVEN_UP = "given_up"
     """It may have been executed, and another attempt is not safe."""
+
+
+class NodeState(StrEnum):
+    """A change in the lifecycle of a node process."""
+
+    READY = "ready"
+    STOPPING = "stopping"
+    KILLED = "killed"
