--- a/swiftthread/storage/__init__.py
+++ b/swiftthread/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of a node: the write-ahead log and the events that it holds."""
+"""Durable state of a node: the write-ahead log and the pending events that it keeps."""
--- a/swiftthread/storage/decision.py
+++ b/swiftthread/storage/decision.py
@@ -10,7 +10,7 @@
     ABANDONED = "given_up"
     """It may have had an effect."""
     REJECTED = "handed_back"
-    """It surely had none, or a repeat is harmless: its client may hand it in again."""
+    """It surely had none, or a repeat is harmless: its client may submit it again."""
 
 
 class Decision(NamedTuple):
--- a/swiftthread/storage/records.py
+++ b/swiftthread/storage/records.py
@@ -1,51 +1,102 @@
-"""Record format of the write-ahead log: framing, checksums, and reading a damaged file."""
+"""Record format of the write-ahead log: framing, checksums, and scanning a damaged file.
+
+A record is a header (checksum, payload length, kind) and a payload. The checksum covers everything after
+itself.
+"""
 
 import re
 import struct
 import zlib
+from collections.abc import Iterator
+from typing import NamedTuple
 
 from swiftthread.storage.decision import FinalOutcome
 
-HEAD = struct.Struct("<IIc")  # checksum of all that follows it, length of the payload, kind
-TAKEN, STATE, SENT, NEVER_RAN, DECIDED, ENDED = b"T", b"S", b"O", b"N", b"D", b"E"
-GIVEN_UP, HANDED_BACK = b"G", b"H"  # in the place of TAKEN, whose checksum it keeps: taken, and decided
-IN_PLACE = {FinalOutcome.ABANDONED: GIVEN_UP, FinalOutcome.REJECTED: HANDED_BACK}
-DECIDED_IN = {kind: outcome for outcome, kind in IN_PLACE.items()}
-KIND_AT = HEAD.size - 1
-KINDS = re.compile(b"[TSONDEGH]")
-
-
-def record(kind, payload):
-    """Frame a payload as one log record, with its length, kind and checksum."""
-    head = struct.pack("<Ic", len(payload), kind)
-    return struct.pack("<I", zlib.crc32(payload, zlib.crc32(head))) + head + payload
-
-
-def records(data):
-    """(begin, end, kind, payload) of each whole record; kind None for a stretch between them that is none."""
-    at = read = 0
-    while found := KINDS.search(data, at + KIND_AT):
-        at = found.start() - KIND_AT
-        check, length, kind = HEAD.unpack_from(data, at)
-        end, first = at + HEAD.size + length, TAKEN if kind in DECIDED_IN else kind
-        if (
-            end > len(data)
-            or zlib.crc32(data[at + HEAD.size : end], zlib.crc32(data[at + 4 : at + KIND_AT] + first))
-            != check
-        ):
-            at += 1
+HEADER = struct.Struct("<IIc")  # CRC-32 of all that follows it, length of the payload in bytes, kind
+CHECKSUM = struct.Struct("<I")
+LENGTH_AND_KIND = struct.Struct("<Ic")
+LENGTH_OFFSET = CHECKSUM.size
+KIND_OFFSET = HEADER.size - 1
+
+TAKEN = b"T"
+STATE = b"S"
+SENT = b"O"
+NEVER_RAN = b"N"
+DECIDED = b"D"
+ENDED = b"E"
+# Written over the kind of a TAKEN record, whose checksum stays: the event was taken, and then decided.
+TAKEN_AND_ABANDONED = b"G"
+TAKEN_AND_REJECTED = b"H"
+
+IN_PLACE_KINDS = {
+    FinalOutcome.ABANDONED: TAKEN_AND_ABANDONED,
+    FinalOutcome.REJECTED: TAKEN_AND_REJECTED,
+}
+IN_PLACE_OUTCOMES = {kind: outcome for outcome, kind in IN_PLACE_KINDS.items()}
+KIND_PATTERN = re.compile(b"[TSONDEGH]")
+
+
+class Record(NamedTuple):
+    """A whole record at the bytes [begin, end) of a file."""
+
+    begin: int
+    end: int
+    kind: bytes
+    payload: bytes
+
+
+class Gap(NamedTuple):
+    """The bytes [begin, end) of a file, which hold no whole record; unpacks like a `Record`."""
+
+    begin: int
+    end: int
+    kind: None = None
+    payload: bytes = b""
+
+
+def record(kind: bytes, payload: bytes) -> bytes:
+    """Frame a payload as one log record, with its checksum, length and kind."""
+    length_and_kind = LENGTH_AND_KIND.pack(len(payload), kind)
+    checksum = zlib.crc32(payload, zlib.crc32(length_and_kind))
+    return CHECKSUM.pack(checksum) + length_and_kind + payload
+
+
+def records(data: bytes) -> Iterator[Record | Gap]:
+    """Each whole record of a file's contents, and the gaps between them."""
+    search_from = 0
+    read_up_to = 0
+    while candidate := KIND_PATTERN.search(data, search_from + KIND_OFFSET):
+        begin = candidate.start() - KIND_OFFSET
+        whole = _record_at(data, begin)
+        if whole is None:
+            search_from = begin + 1
             continue
-        if at > read:
-            yield read, at, None, b""
-        yield at, end, kind, data[at + HEAD.size : end]
-        at = read = end
-    if read < len(data):
-        yield read, len(data), None, b""
+        if begin > read_up_to:
+            yield Gap(read_up_to, begin)
+        yield whole
+        search_from = read_up_to = whole.end
+    if read_up_to < len(data):
+        yield Gap(read_up_to, len(data))
+
+
+def _record_at(data: bytes, begin: int) -> Record | None:
+    """The record that begins there; None where its checksum or length says that there is none."""
+    checksum, length, kind = HEADER.unpack_from(data, begin)
+    payload_begin = begin + HEADER.size
+    end = payload_begin + length
+    if end > len(data):
+        return None
+    payload = data[payload_begin:end]
+    checked_kind = TAKEN if kind in IN_PLACE_OUTCOMES else kind
+    length_and_kind = data[begin + LENGTH_OFFSET : begin + KIND_OFFSET] + checked_kind
+    if zlib.crc32(payload, zlib.crc32(length_and_kind)) != checksum:
+        return None
+    return Record(begin, end, kind, payload)
 
 
-def torn(rest):
-    """Whether these bytes can be a record of which a process wrote the beginning as it died."""
-    if len(rest) < HEAD.size:
+def is_torn(tail: bytes) -> bool:
+    """Whether a file's last bytes can be the beginning of a record whose writer died."""
+    if len(tail) < HEADER.size:
         return True
-    _, length, kind = HEAD.unpack_from(rest)
-    return KINDS.fullmatch(kind) is not None and HEAD.size + length > len(rest)
+    _, length, kind = HEADER.unpack_from(tail)
+    return KIND_PATTERN.fullmatch(kind) is not None and HEADER.size + length > len(tail)
--- /dev/null
+++ b/swiftthread/storage/replay.py
@@ -0,0 +1,135 @@
+"""Reading the write-ahead log at a start: from its records to pending events and recently ended ids.
+
+What cannot be read is passed over, and the worst is assumed of what it may have said: that every event taken
+before it was sent and may have run.
+"""
+
+import json
+import struct
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from swiftthread.storage.decision import Decision, FinalOutcome
+from swiftthread.storage.event_records import parse_taken
+from swiftthread.storage.pending_event import UNKNOWN_EXECUTION, PendingEvent, PossibleExecution
+from swiftthread.storage.pending_table import PendingEventTable
+from swiftthread.storage.recently_ended import RecentlyEndedEvents
+from swiftthread.storage.records import (
+    DECIDED,
+    ENDED,
+    IN_PLACE_OUTCOMES,
+    NEVER_RAN,
+    SENT,
+    STATE,
+    TAKEN,
+    Gap,
+    Record,
+    is_torn,
+    records,
+)
+
+MALFORMED_PAYLOAD = (ValueError, TypeError, struct.error)
+"""What parsing raises for a whole record whose payload is not of this program's making."""
+
+
+class ByteRange(NamedTuple):
+    """The bytes [begin, end) of the file."""
+
+    begin: int
+    end: int
+
+
+class LogReplay:
+    """Fills a table of pending events and the recently ended ids from a log's contents.
+
+    Attributes:
+        torn_bytes: Length of the record at the end whose writer died.
+        unreadable_ranges: Where else there are bytes that are no record or say nothing understood.
+    """
+
+    def __init__(self, table: PendingEventTable, recently_ended: RecentlyEndedEvents) -> None:
+        self.torn_bytes = 0
+        self.unreadable_ranges: list[ByteRange] = []
+        self._table = table
+        self._recently_ended = recently_ended
+        self._appliers: dict[bytes, Callable[[PendingEvent, list[Any]], None]] = {
+            STATE: _apply_state,
+            SENT: _apply_sent,
+            NEVER_RAN: _apply_never_ran,
+            DECIDED: _apply_decided,
+            ENDED: self._apply_ended,
+        }
+
+    def run(self, data: bytes) -> None:
+        """Apply every record of the log's contents."""
+        for part in records(data):
+            if isinstance(part, Gap):
+                self._skip_gap(part, data)
+                continue
+            try:
+                self._apply(part)
+            except MALFORMED_PAYLOAD:
+                self._skip_unreadable(part.begin, part.end)
+        for pending in self._table.events.values():
+            pending.note_lost_result()
+
+    def _skip_gap(self, gap: Gap, data: bytes) -> None:
+        if gap.end == len(data) and is_torn(data[gap.begin :]):
+            self.torn_bytes = gap.end - gap.begin
+        else:
+            self._skip_unreadable(gap.begin, gap.end)
+
+    def _skip_unreadable(self, begin: int, end: int) -> None:
+        """A send of any event taken before, or the end of one, may have been noted here."""
+        self.unreadable_ranges.append(ByteRange(begin, end))
+        for pending in self._table.events.values():
+            pending.may_have_run = UNKNOWN_EXECUTION
+
+    def _apply(self, record: Record) -> None:
+        if record.kind == TAKEN or record.kind in IN_PLACE_OUTCOMES:
+            self._apply_taken(record)
+            return
+        event_id, *fields = json.loads(record.payload)
+        pending = self._table.events.get(event_id)
+        if record.kind == ENDED:
+            self._remember_ended(event_id, pending, fields)
+        if pending is not None:
+            self._appliers[record.kind](pending, fields)
+
+    def _apply_taken(self, record: Record) -> None:
+        pending = parse_taken(record.payload)
+        pending.file_offset = record.begin
+        outcome = IN_PLACE_OUTCOMES.get(record.kind)
+        if outcome is not None:
+            pending.decision = Decision(outcome, 0.0)
+            pending.decision_is_logged = True
+        self._table.add(pending, record.end - record.begin)
+
+    def _remember_ended(self, event_id: str, pending: PendingEvent | None, fields: list[Any]) -> None:
+        self._recently_ended.discard(event_id)  # so that the latest end stands last
+        logged_fingerprint = fields[0] if fields else None
+        fingerprint = logged_fingerprint if pending is None else pending.fingerprint()
+        self._recently_ended.add(event_id, fingerprint)
+
+    def _apply_ended(self, pending: PendingEvent, _fields: list[Any]) -> None:
+        self._table.remove(pending)
+
+
+def _apply_state(pending: PendingEvent, fields: list[Any]) -> None:
+    attempts = fields[0]
+    may_have_run = fields[1]
+    pending.may_have_run = PossibleExecution._make(may_have_run) if may_have_run else None
+    pending.attempts = attempts
+
+
+def _apply_sent(pending: PendingEvent, fields: list[Any]) -> None:
+    pending.note_send(PossibleExecution(*fields))
+
+
+def _apply_never_ran(pending: PendingEvent, _fields: list[Any]) -> None:
+    pending.send_in_flight = None
+
+
+def _apply_decided(pending: PendingEvent, fields: list[Any]) -> None:
+    pending.decision = Decision(FinalOutcome(fields[0]), *fields[1:])
+    pending.decision_is_logged = True
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -16,10 +16,12 @@
 from support.fake_servers import FakeEndpoint
 from support.node_process import NodeProcess, lane, until
 
-from swiftthread.storage import write_ahead_log as module
+from swiftthread.storage import log_file as module
+from swiftthread.storage.log_file import FILE_NAME as NAME
+from swiftthread.storage.pending_event import UNKNOWN_EXECUTION as UNKNOWN
 from swiftthread.storage.pending_event import PendingEvent
 from swiftthread.storage.records import DECIDED, ENDED, SENT, record
-from swiftthread.storage.write_ahead_log import NAME, UNKNOWN, WriteAheadLog
+from swiftthread.storage.write_ahead_log import WriteAheadLog
 
 DISK = 3_000_000
 
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -14,8 +14,10 @@
 from support.stream_types import IDEMPOTENT
 
 from swiftthread.client.discovery_client import DiscoveryClient
-from swiftthread.storage import write_ahead_log as module
+from swiftthread.storage.log_file import FILE_NAME
 from swiftthread.storage.pending_event import PendingEvent
+from swiftthread.storage.recently_ended import RETENTION_MS
+from swiftthread.storage.records import ENDED, record
 from swiftthread.storage.write_ahead_log import WriteAheadLog
 
 REALMS = [
@@ -58,14 +60,14 @@
     assert log.append_taken(held()) and log.matches_known_event(held("evt-2")) is None
     log.append_ended(log.pending["evt-1"])
     if anew:
-        log._rewrite()
-        assert b"body" not in (tmp_path / module.NAME).read_bytes()
+        log.compact()
+        assert b"body" not in (tmp_path / FILE_NAME).read_bytes()
     log.close()
     log = WriteAheadLog(str(tmp_path), 3_000_000, lambda: now[0])
     assert log.matches_known_event(held()) is True and log.matches_known_event(held(body=b"other")) is False
-    now[0] += module.OVER_MS + 1.0
+    now[0] += RETENTION_MS + 1.0
     assert log.matches_known_event(held()) is None and not log.recently_ended
-    log._rewrite()
+    log.compact()
     assert log.size == 0
     log.close()
 
@@ -96,7 +98,7 @@
 
 
 def test_a_log_of_before_marks_still_knows_its_ids(tmp_path):
-    (tmp_path / module.NAME).write_bytes(module.record(module.ENDED, b'["evt-1"]'))
+    (tmp_path / FILE_NAME).write_bytes(record(ENDED, b'["evt-1"]'))
     log = WriteAheadLog(str(tmp_path), 3_000_000, lambda: 1000.0)
     assert log.matches_known_event(held()) is True and not log.unreadable_ranges
     log.close()
