--- /dev/null
+++ b/tests/service/test_unknown_tenants.py
@@ -0,0 +1,40 @@
+"""A client that is none of the settings' tenants has no tenant's quota and no tenant's share."""
+
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, until
+from support.simulated_node import SimulatedNode
+from support.stream_types import IDEMPOTENT
+
+OVER_QUOTA_WEIGHT = 0.1
+REALMS = [
+    {"Name": "north", "QuotaPerS": 0.001, "Share": 0.5},
+    {"Name": "south", "QuotaPerS": 50.0, "Share": 0.5},
+]
+
+
+def priority_weight(quotas, tenant):
+    node = SimulatedNode([], quotas=quotas, over_quota_weight=OVER_QUOTA_WEIGHT)
+    return node.session.router.add_event(0.0, 0, 0, 9000.0, tenant).priority_weight
+
+
+def test_an_unknown_tenant_counts_as_over_quota_only_where_there_are_quotas():
+    full_weight = IDEMPOTENT.priority_weight
+    assert priority_weight([50.0, 50.0], 1) == full_weight
+    assert priority_weight([], None) == full_weight
+    assert priority_weight([], 0) == full_weight
+    assert priority_weight([None], 0) == full_weight
+    assert priority_weight([50.0, 50.0], None) == OVER_QUOTA_WEIGHT * full_weight
+    assert priority_weight([50.0, 50.0], 2) == OVER_QUOTA_WEIGHT * full_weight
+
+
+def test_an_unknown_tenant_is_accepted_logged_and_reported(tmp_path):
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint, Realms=REALMS) as node:
+        for number, tenant in enumerate(("north", "east", None)):
+            assert node.hand_in(**{"X-Org": tenant}) == 202
+            until(lambda: len(endpoint.calls) == number + 1)
+        log = node.log_path().read_bytes()
+        assert [log.count(name) for name in (b'"north"', b'"east"', b"null")] == [1, 1, 1]
+        output = node.said()
+        assert "evt-2: tenant 'east' is none of the settings'" in output
+        assert "evt-1: tenant" not in output
--- /dev/null
+++ b/tests/storage/test_duplicate_submissions.py
@@ -0,0 +1,88 @@
+"""Submissions under one id: the same once more, or another's; also across a restart."""
+
+import signal
+
+import pytest
+from log_fixtures import NOW, open_log, pending_event
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, until
+
+from swiftthread.storage.log_file import FILE_NAME
+from swiftthread.storage.recently_ended import RETENTION_MS
+from swiftthread.storage.records import ENDED, record
+
+
+def test_an_event_submitted_again_after_a_kill_is_no_second_event(tmp_path):
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path, endpoint) as node:
+        assert node.hand_in("once", ident="crossed") == 202
+        until(lambda: b'E["crossed"]' in node.log_path().read_bytes())
+        node.stop(signal.SIGKILL)
+        node.start()
+        assert node.hand_in("once", ident="crossed", left="2000m") == 202
+        assert node.hand_in("once", ident="next") == 202
+        until(lambda: b'E["next"]' in node.log_path().read_bytes())
+        assert endpoint.idents() == ["crossed", "next"]
+        assert node.notices() == {}
+
+
+@pytest.mark.parametrize("is_compacted", [False, True])
+def test_a_recently_ended_id_is_known_after_a_restart_and_in_a_compacted_log(tmp_path, is_compacted):
+    now = [NOW]
+    with open_log(tmp_path, lambda: now[0]) as log:
+        assert log.append_taken(pending_event())
+        assert log.matches_known_event(pending_event("evt-2")) is None
+        log.append_ended(log.pending["evt-1"])
+        if is_compacted:
+            log.compact()
+            assert b"body" not in (tmp_path / FILE_NAME).read_bytes()
+    with open_log(tmp_path, lambda: now[0]) as log:
+        assert log.matches_known_event(pending_event()) is True
+        assert log.matches_known_event(pending_event(body=b"other")) is False
+        now[0] += RETENTION_MS + 1.0
+        assert log.matches_known_event(pending_event()) is None
+        assert not log.recently_ended
+        log.compact()
+        assert log.size == 0
+
+
+@pytest.mark.parametrize("is_ended", [False, True])
+@pytest.mark.parametrize(
+    "other",
+    [
+        {"body": b"other"},
+        {"destination": 2},
+        {"stream_type": "notice"},
+        {"tenant": "south"},
+        {"tenant": None},
+        {"idempotency_key": "l"},
+        {"ordering_key": 7},
+    ],
+)
+def test_another_submission_under_a_known_id_is_not_the_same(tmp_path, other, is_ended):
+    with open_log(tmp_path) as log:
+        assert log.append_taken(pending_event())
+        if is_ended:
+            log.append_ended(log.pending["evt-1"])
+        assert log.matches_known_event(pending_event(**other)) is False
+        assert log.matches_known_event(pending_event(expires_at=1.0)) is True
+
+
+def test_a_log_without_fingerprints_still_knows_its_ids(tmp_path):
+    (tmp_path / FILE_NAME).write_bytes(record(ENDED, b'["evt-1"]'))
+    with open_log(tmp_path) as log:
+        assert log.matches_known_event(pending_event()) is True
+        assert not log.unreadable_ranges
+
+
+def test_two_clients_with_one_id_do_not_both_get_accepted(tmp_path):
+    endpoint = FakeEndpoint(None)
+    other = FakeEndpoint(ident="s-2", cell=2)
+    with NodeProcess(tmp_path, endpoint, other) as node:
+        assert node.hand_in("once", ident="one", body=b"mine") == 202
+        assert node.hand_in("once", ident="one", body=b"yours", destination=2) == 409
+        assert node.hand_in("once", ident="one", body=b"mine", left="300m") == 202
+        assert node.hand_in("once", ident="two", destination=2) == 202
+        until(lambda: endpoint.calls and other.calls)
+        assert [call[3] for call in endpoint.calls] == [b"mine"]
+        assert other.idents() == ["two"]
--- /dev/null
+++ b/tests/storage/test_full_disk.py
@@ -0,0 +1,177 @@
+"""A log that the disk refuses to take: nothing noted is lost, and nothing unnoted is sent."""
+
+import json
+import os
+import resource
+import signal
+import subprocess
+import sys
+import time
+from pathlib import Path
+
+import pytest
+from log_fixtures import NOW, open_log, pending_event
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, lane, until
+
+from swiftthread.storage import log_file
+from swiftthread.storage.log_file import LogFile, LogFileError
+
+STREAM_TYPES = [
+    lane("notice", "retryable"),
+    lane("once", "fragile", Deadline=9.0),
+    lane("posting", "dedup", Group="zone", Window=6.0, Deadline=9.0),
+]
+
+# In a process of its own: the limit holds for each of its files, so for a test runner's output too.
+DECIDE_ON_A_FULL_DISK = """
+import os, resource, sys
+from log_fixtures import open_log, pending_event
+from swiftthread.storage.decision import Decision, FinalOutcome
+folder, outcome = sys.argv[1:]
+log = open_log(folder)
+events = [pending_event("evt-0"), pending_event("evt-1"), pending_event("evt-2")]
+assert all(map(log.append_taken, events))
+hard = resource.getrlimit(resource.RLIMIT_FSIZE)[1]
+resource.setrlimit(resource.RLIMIT_FSIZE, (os.path.getsize(log.path), hard))
+assert not log.append_sent(events[1], 1)
+assert not log.append_taken(pending_event("evt-3"))
+assert log.append_decision(events[1], Decision(FinalOutcome(outcome), 500.0))
+"""
+
+
+def fail_to_write(*_args):
+    raise OSError(28, "No space left on device")
+
+
+def fail_to_truncate(_descriptor, _size):
+    raise OSError(5, "Input/output error")
+
+
+def limit_files(node, size):
+    hard = resource.prlimit(node.process.pid, resource.RLIMIT_FSIZE)[1]
+    resource.prlimit(node.process.pid, resource.RLIMIT_FSIZE, (size, hard))
+
+
+@pytest.mark.parametrize("outcome", ["given_up", "handed_back"])
+def test_a_decision_is_in_the_log_though_the_disk_is_full(tmp_path, outcome):
+    child = subprocess.run(
+        [sys.executable, "-c", DECIDE_ON_A_FULL_DISK, str(tmp_path), outcome],
+        cwd=Path(__file__).parent,
+        env=os.environ | {"PYTHONPATH": str(Path(__file__).parents[2])},
+        capture_output=True,
+        text=True,
+    )
+    assert child.returncode == 0, child.stderr
+    assert "the log cannot be written: File too large (evt-1)" in child.stderr
+    with open_log(tmp_path) as log:
+        decisions = [event.decision for event in log.pending.values()]
+        assert decisions == [None, (outcome, 0.0), None]
+        assert not log.unreadable_ranges
+
+
+def test_what_a_partial_write_left_is_cut_before_the_next_one(tmp_path, monkeypatch):
+    """Left there, it and all after it would be lost to the next start, records of sends included."""
+    log = open_log(tmp_path)
+    events = [pending_event("evt-0"), pending_event("evt-1")]
+    assert all(map(log.append_taken, events))
+    write = os.write
+
+    def write_partially(descriptor, data):
+        write(descriptor, bytes(data[:9]))
+        fail_to_write()
+
+    with monkeypatch.context() as patch:
+        patch.setattr(log_file.os, "write", write_partially)
+        patch.setattr(log_file.os, "ftruncate", fail_to_truncate)
+        assert not log.append_sent(events[0], 1)
+        assert not log.append_sent(events[0], 1)
+    assert log.append_sent(events[1], 1)
+    log.close()
+    with open_log(tmp_path) as log:
+        sends = {event_id: event.may_have_run for event_id, event in log.pending.items()}
+        assert sends == {"evt-0": None, "evt-1": (NOW, 1)}
+        assert not log.torn_bytes
+        assert not log.unreadable_ranges
+
+
+def test_a_failed_append_or_replacement_names_the_file_and_leaves_it_as_it_was(tmp_path, monkeypatch):
+    file = LogFile(str(tmp_path), 1000)
+    file.append(b"whole")
+    descriptors = os.listdir("/proc/self/fd")
+    with monkeypatch.context() as patch:
+        patch.setattr(log_file.os, "write", fail_to_write)
+        for change in (file.append, file.replace):
+            with pytest.raises(LogFileError) as caught:
+                change(b"other")
+            assert caught.value.filename == file.path
+            assert caught.value.strerror == "No space left on device"
+    assert os.listdir("/proc/self/fd") == descriptors
+    assert [path.name for path in tmp_path.iterdir()] == [log_file.FILE_NAME]
+    assert file.read() == b"whole"
+    assert file.append(b" again") == 5
+    file.close()
+
+
+def test_a_full_disk_loses_no_record_of_a_send_that_may_have_run(tmp_path):
+    """The second send cannot be noted, so it does not go.
+
+    It was struck from the log as one that never ran, and the first with it: after a restart the event went to
+    the other group.
+    """
+    other = FakeEndpoint(ident="s-2")
+    other.entry = lambda entry=other.entry: entry() | {"zone": "west"}
+    first = FakeEndpoint("reset", 200)
+    with NodeProcess(tmp_path, first, Profiles=STREAM_TYPES) as node:
+        sizes = []
+
+        def fill_the_disk(_body):
+            sizes.append(os.path.getsize(node.log_path()))
+            limit_files(node, sizes[0])
+            return "reset"
+
+        first.script[0] = fill_the_disk
+        assert node.hand_in("posting", left="8000m", **{"Idempotency-Key": "k"}) == 202
+        until(lambda: sizes)
+        time.sleep(0.3)
+        limit_files(node, resource.RLIM_INFINITY)
+        until(lambda: len(first.calls) == 2 or os.path.getsize(node.log_path()) > sizes[0])
+        node.stop(signal.SIGKILL)
+        first.cut()
+        node.discovery.page["servers"][:] = [other.entry()]
+        node.parts["known"] = node.discovery.page
+        node.start()
+        until(lambda: node.notices() or other.calls or b'E["evt-1"]' in node.log_path().read_bytes())
+        assert not other.calls
+
+
+def test_an_event_rejected_on_a_full_disk_is_not_sent_after_a_restart(tmp_path):
+    """Its client was notified to submit it elsewhere; here it was still owed."""
+    endpoint = FakeEndpoint((429, [("Retry-After", "2.9")], b""))
+    silent = FakeEndpoint(None, ident="s-2", cell=2)
+    with NodeProcess(tmp_path, endpoint, silent, Profiles=STREAM_TYPES, Permissions={"MaxOpen": 10}) as node:
+
+        def submit(number, destination=1):
+            assert node.hand_in("once", left="8000m", ident=f"evt-{number}", destination=destination) == 202
+            return os.path.getsize(node.log_path())
+
+        submit(10, destination=2)
+        submit(11)
+        until(lambda: b'N["evt-11"]' in node.log_path().read_bytes() and silent.calls)
+        sizes = [submit(number) for number in range(12, 19)]  # held back by the Retry-After
+        limit_files(node, sizes[-1] + 80)  # room for one more, some 70 bytes, and none for a decision
+        submit(19)
+        until(node.notices)
+        node.stop(signal.SIGKILL)
+        rejected = node.notices()
+        endpoint.script[:] = [200]
+        endpoint.calls[:] = []
+        node.parts["settings"]["Permissions"]["MaxOpen"] = 50
+        node.conf.write_text(json.dumps(node.parts))
+        node.start()
+        until(lambda: len(endpoint.calls) >= 8 and "evt-10" in node.notices())
+        until(lambda: b'E["%s"]' % list(rejected)[0].encode() in node.log_path().read_bytes())
+        assert list(rejected.values()) == ["handed_back"]
+        assert node.notices() == rejected | {"evt-10": "given_up"}
+        assert len(endpoint.calls) == 8
+        assert not set(rejected) & set(endpoint.idents())
