--- a/swiftthread/storage/replay.py
+++ b/swiftthread/storage/replay.py
@@ -52,13 +52,6 @@
         self.unreadable_ranges: list[ByteRange] = []
         self._table = table
         self._recently_ended = recently_ended
-        self._appliers: dict[bytes, Callable[[PendingEvent, list[Any]], None]] = {
-            STATE: _apply_state,
-            SENT: _apply_sent,
-            NEVER_RAN: _apply_never_ran,
-            DECIDED: _apply_decided,
-            ENDED: self._apply_ended,
-        }
 
     def run(self, data: bytes) -> None:
         """Apply every record of the log's contents."""
@@ -92,9 +85,9 @@
         event_id, *fields = json.loads(record.payload)
         pending = self._table.events.get(event_id)
         if record.kind == ENDED:
-            self._remember_ended(event_id, pending, fields)
-        if pending is not None:
-            self._appliers[record.kind](pending, fields)
+            self._apply_ended(event_id, pending, fields)
+        elif pending is not None:
+            APPLIERS[record.kind](pending, fields)
 
     def _apply_taken(self, record: Record) -> None:
         pending = parse_taken(record.payload)
@@ -105,13 +98,12 @@
             pending.decision_is_logged = True
         self._table.add(pending, record.end - record.begin)
 
-    def _remember_ended(self, event_id: str, pending: PendingEvent | None, fields: list[Any]) -> None:
+    def _apply_ended(self, event_id: str, pending: PendingEvent | None, fields: list[Any]) -> None:
         self._recently_ended.discard(event_id)  # so that the latest end stands last
-        logged_fingerprint = fields[0] if fields else None
-        fingerprint = logged_fingerprint if pending is None else pending.fingerprint()
-        self._recently_ended.add(event_id, fingerprint)
-
-    def _apply_ended(self, pending: PendingEvent, _fields: list[Any]) -> None:
+        if pending is None:
+            self._recently_ended.add(event_id, fields[0] if fields else None)
+            return
+        self._recently_ended.add(event_id, pending.fingerprint())
         self._table.remove(pending)
 
 
@@ -133,3 +125,12 @@
 def _apply_decided(pending: PendingEvent, fields: list[Any]) -> None:
     pending.decision = Decision(FinalOutcome(fields[0]), *fields[1:])
     pending.decision_is_logged = True
+
+
+APPLIERS: dict[bytes, Callable[[PendingEvent, list[Any]], None]] = {
+    STATE: _apply_state,
+    SENT: _apply_sent,
+    NEVER_RAN: _apply_never_ran,
+    DECIDED: _apply_decided,
+}
+"""What each kind of record changes in the pending event that it names."""
