--- a/swiftthread/storage/event_records.py
+++ b/swiftthread/storage/event_records.py
@@ -37,7 +37,7 @@
     """
     (length,) = FIELDS_LENGTH.unpack_from(payload)
     body_begin = FIELDS_LENGTH.size + length
-    fields = json.loads(payload[FIELDS_LENGTH.size : body_begin])
+    fields = json.loads(payload[FIELDS_LENGTH.size : body_begin].decode())
     event_id, idempotency_key, stream_type, destination, expires_at, tenant, ordering_key = fields
     return PendingEvent(
         event_id,
--- a/swiftthread/storage/replay.py
+++ b/swiftthread/storage/replay.py
@@ -82,7 +82,7 @@
         if record.kind == TAKEN or record.kind in IN_PLACE_OUTCOMES:
             self._apply_taken(record)
             return
-        event_id, *fields = json.loads(record.payload)
+        event_id, *fields = json.loads(record.payload.decode())
         pending = self._table.events.get(event_id)
         if record.kind == ENDED:
             self._apply_ended(event_id, pending, fields)
--- a/tests/storage/test_duplicate_submissions.py
+++ b/tests/storage/test_duplicate_submissions.py
@@ -39,7 +39,9 @@
     with open_log(tmp_path, lambda: now[0]) as log:
         assert log.matches_known_event(pending_event()) is True
         assert log.matches_known_event(pending_event(body=b"other")) is False
-        now[0] += RETENTION_MS + 1.0
+        now[0] += 3000.0
+        assert log.matches_known_event(pending_event()) is True
+        now[0] = NOW + RETENTION_MS + 1.0
         assert log.matches_known_event(pending_event()) is None
         assert not log.recently_ended
         log.compact()
