--- a/swiftthread/__main__.py
+++ b/swiftthread/__main__.py
@@ -1,64 +1,50 @@
-"""One delivery node: `python -m swiftthread`. It is told all it needs by LB_CONFIG and its like."""
+"""One delivery node: `python -m swiftthread`. LB_CONFIG names its configuration; see `node_config`."""
 
 import gc
 import os
 import signal
 import sys
-import time
 
 import anyio
 from loguru import logger
 
-from swiftthread.configuration.node_config import NodeConfig
-from swiftthread.configuration.settings_reader import MalformedInput
+from swiftthread.configuration.node_config import ConfigurationError, read_node_config
+from swiftthread.service.log_filter import RepeatFilter
 from swiftthread.service.startup import SIGNALS, serve
 
-SAME_LINE_S = 5.0  # s: one place in the code writes at most one line in so long; a storm stays readable
+EXIT_UNUSABLE = 2
+"""Exit code when the configuration, or what it names, cannot be used."""
 
 
-def sparing():
-    """A filter that lets each place in the code through once in a while, and counts what it kept back."""
-    last = {}  # place -> [moment, lines kept back]; as many as there are places
-
-    def passes(row):
-        seen = last.setdefault((row["file"].name, row["line"]), [-SAME_LINE_S, 0])
-        now = time.monotonic()
-        if now - seen[0] < SAME_LINE_S:
-            seen[1] += 1
-            return False
-        if seen[1]:
-            row["message"] += f" (and {seen[1]} times before)"
-        seen[:] = [now, 0]
-        return True
-
-    return passes
+def main() -> int:
+    """Run one node; returns the exit code of the process."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until `serve` receives them
+    _configure_logging()
+    try:
+        config = read_node_config(os.environ)
+    except ConfigurationError as error:
+        print(f"swiftthread: {error}", file=sys.stderr)
+        return EXIT_UNUSABLE
+    gc.freeze()
+    exit_code = 0
+    try:
+        anyio.run(serve, config)
+    except* OSError as errors:
+        print(f"swiftthread: {errors.exceptions[0]}", file=sys.stderr)
+        exit_code = EXIT_UNUSABLE
+    return exit_code
 
 
-def main():
-    """Run one node; returns the process's exit code."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until somebody listens
+def _configure_logging() -> None:
     logger.remove()
     logger.add(
         sys.stderr,
         format="{time:HH:mm:ss.SSS} {level} {message}",
         level="INFO",
-        filter=sparing(),
+        filter=RepeatFilter(),
         backtrace=False,
         diagnose=False,
     )
-    try:
-        told = NodeConfig(os.environ)
-    except MalformedInput as fault:
-        print(f"swiftthread: {fault}", file=sys.stderr)
-        return 2
-    gc.freeze()
-    code = 0
-    try:
-        anyio.run(serve, told)
-    except* OSError as faults:
-        print(f"swiftthread: {faults.exceptions[0]}", file=sys.stderr)
-        code = 2
-    return code
 
 
 if __name__ == "__main__":
--- a/swiftthread/configuration/settings_reader.py
+++ b/swiftthread/configuration/settings_reader.py
@@ -1,121 +1,162 @@
-"""The one reader of the start object that an instance is handed, on the drill's wire or on sockets."""
+"""Reads the settings document of a node, in the simulator's protocol and in the configuration file alike."""
 
 import json
 import math
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+from dataclasses import dataclass
+from typing import Any
 
 from swiftthread.routing.settings import Effect, Settings, StreamType
 
 EFFECTS = {"retryable": Effect.IDEMPOTENT, "dedup": Effect.DEDUPLICATED, "fragile": Effect.NON_IDEMPOTENT}
+"""Effects by their names in the document."""
+DEDUPLICATION_GROUPS = ("all", "zone", "cell")
+DEFAULT_DEDUPLICATION_GROUP = "cell"
+"""Each endpoint a group of its own: the cautious reading."""
 
 
 class MalformedInput(Exception):
-    """The input is not what the given pages allow; the text says what and where."""
+    """The input is not what its format allows; the text says what and where."""
 
 
-def ms(seconds):
-    """Seconds (None: 0) as milliseconds; ValueError unless finite."""
-    value = 1000.0 * (seconds or 0.0)
-    if not math.isfinite(value):
-        raise ValueError(f"{seconds} is no length of time")
-    return value
+@dataclass(frozen=True)
+class SettingNames:
+    """Numbers by which the router knows what the settings document names."""
 
+    stream_type_numbers: dict[str, int]
+    kind_numbers: dict[str, int]
+    zone_numbers: dict[str, int]
+    tenant_numbers: dict[str, int]
 
-def parse_settings(text):
-    """The settings document that the simulator sends, as text."""
+
+def parse_settings(text: bytes | bytearray | memoryview) -> Any:
+    """Parse the settings document that the simulator sends; `MalformedInput` when it is no JSON."""
     try:
         return json.loads(bytes(text))
-    except ValueError as fault:
-        raise MalformedInput(f"the settings of an instance cannot be read: {fault}") from None
+    except ValueError as error:
+        raise MalformedInput(f"the settings of an instance cannot be read: {error}") from None
+
 
+def read_settings(document: Mapping[str, Any]) -> Settings:
+    """The settings of a router; what the document leaves out has its default.
 
-def read_settings(conf):
-    """The settings of a router; what the document leaves out has its default."""
+    Raises:
+        MalformedInput: A value is of the wrong form.
+    """
     try:
-        domain, rules = conf.get("Domain") or {}, conf.get("Obligations") or {}
-        allowed = conf.get("Permissions") or {}
-        streams = [read_stream_type(number, row) for number, row in enumerate(conf.get("Profiles") or ())]
-        values = {
-            "stream_types": streams,
-            "node_count": conf.get("Balancers"),
-            "node_position": conf.get("Position"),
-            "max_calls_in_flight": domain.get("CallsOut"),
-            "max_pending_events": allowed.get("MaxOpen"),
-            "max_attempts": allowed.get("TryLimit"),
-            "batch_size_by_kind": domain.get("KindBatch"),
-            "separate_routes_by_kind": domain.get("RoutesApart"),
-            "carriage_cost_by_zone": domain.get("Carriage"),
-            "halves_late_value": domain.get("LosesWorth") == "by_half",
-            "listed_rates": conf.get("Weights"),
-            "quotas": [row.get("QuotaPerS") for row in conf.get("Realms") or ()],
-            "over_quota_weight": conf.get("OverShareWorth"),
-            "may_send_health_checks": allowed.get("Probes"),
-            "may_send_retry_after": allowed.get("RetryAfter"),
-            "max_retry_after_ms": ms(allowed.get("MaxRetryAfter")),
-            "polls_discovery": conf.get("Discovery") == "ask",
-            "poll_within_ms": ms(rules.get("AskWithin")),
-            "overload_multiple": rules.get("FallMultiple"),
-            "cold_capacity_share": rules.get("ColdFrom"),
-            "warm_up_ms": ms(rules.get("WarmUp")),
-            "ordering_rest_ms": ms(rules.get("KeyRest")),
-            "tick_ms": ms(conf.get("Period")),
-            "connect_timeout_ms": ms(allowed.get("ConnectTimeout")),
-            "keepalive_ms": ms(allowed["Keepalive"]) if allowed.get("Keepalive") else None,
-        }
-    except (KeyError, ValueError, AttributeError, TypeError) as fault:
-        raise MalformedInput(f"the settings of an instance cannot be read: {fault}") from None
+        values = _read_values(document)
+    except (KeyError, ValueError, AttributeError, TypeError) as error:
+        raise MalformedInput(f"the settings of an instance cannot be read: {error}") from None
     return Settings(**{name: value for name, value in values.items() if value is not None})
 
 
-def read_report_fields(conf):
+def _read_values(document: Mapping[str, Any]) -> dict[str, Any]:
+    """Fields of `Settings`; None where the document leaves one out."""
+    domain = document.get("Domain") or {}
+    obligations = document.get("Obligations") or {}
+    permissions = document.get("Permissions") or {}
+    profiles = document.get("Profiles") or ()
+    tenants = document.get("Realms") or ()
+    keepalive_s = permissions.get("Keepalive")
+    return {
+        "stream_types": [read_stream_type(number, profile) for number, profile in enumerate(profiles)],
+        "node_count": document.get("Balancers"),
+        "node_position": document.get("Position"),
+        "max_calls_in_flight": domain.get("CallsOut"),
+        "max_pending_events": permissions.get("MaxOpen"),
+        "max_attempts": permissions.get("TryLimit"),
+        "batch_size_by_kind": domain.get("KindBatch"),
+        "separate_routes_by_kind": domain.get("RoutesApart"),
+        "carriage_cost_by_zone": domain.get("Carriage"),
+        "halves_late_value": domain.get("LosesWorth") == "by_half",
+        "listed_rates": document.get("Weights"),
+        "quotas": [tenant.get("QuotaPerS") for tenant in tenants],
+        "over_quota_weight": document.get("OverShareWorth"),
+        "may_send_health_checks": permissions.get("Probes"),
+        "may_send_retry_after": permissions.get("RetryAfter"),
+        "max_retry_after_ms": _to_ms(permissions.get("MaxRetryAfter")),
+        "polls_discovery": document.get("Discovery") == "ask",
+        "poll_within_ms": _to_ms(obligations.get("AskWithin")),
+        "overload_multiple": obligations.get("FallMultiple"),
+        "cold_capacity_share": obligations.get("ColdFrom"),
+        "warm_up_ms": _to_ms(obligations.get("WarmUp")),
+        "ordering_rest_ms": _to_ms(obligations.get("KeyRest")),
+        "tick_ms": _to_ms(document.get("Period")),
+        "connect_timeout_ms": _to_ms(permissions.get("ConnectTimeout")),
+        "keepalive_ms": _to_ms(keepalive_s) if keepalive_s else None,
+    }
+
+
+def read_report_fields(document: Mapping[str, Any]) -> Sequence[str]:
     """Names of the load report's fields, in the order of the simulator's protocol."""
-    return (conf.get("Stats") or {}).get("Fields") or []
+    return (document.get("Stats") or {}).get("Fields") or []
+
+
+def read_stream_type(number: int, profile: Mapping[str, Any]) -> StreamType:
+    """Read a stream type; what cannot be understood of its effect is read the cautious way.
 
+    Args:
+        number: Position of the profile in the document, for messages.
+        profile: The profile of the document.
 
-def read_stream_type(number, row):
-    """A stream type from its profile. What cannot be understood of its effect is read the cautious way."""
+    Raises:
+        MalformedInput: A value is of the wrong form.
+    """
+    effect_name: Any = profile.get("Effect")
     try:
         return StreamType(
-            latency_objective_ms=ms(row.get("Aim")),
-            max_age_ms=ms(row.get("Deadline")),
-            priority_weight=row.get("Value", 1.0),
-            late_weight=row.get("LateWorth", 0.0),
-            effect=EFFECTS.get(row.get("Effect"), Effect.NON_IDEMPOTENT),
-            deduplication_group=row.get("Group", "cell"),
-            deduplication_window_ms=ms(row.get("Window")),
-            is_ordered=bool(row.get("InTurn")),
+            latency_objective_ms=_to_ms(profile.get("Aim")),
+            max_age_ms=_to_ms(profile.get("Deadline")),
+            priority_weight=profile.get("Value", 1.0),
+            late_weight=profile.get("LateWorth", 0.0),
+            effect=EFFECTS.get(effect_name, Effect.NON_IDEMPOTENT),
+            deduplication_group=profile.get("Group", DEFAULT_DEDUPLICATION_GROUP),
+            deduplication_window_ms=_to_ms(profile.get("Window")),
+            is_ordered=bool(profile.get("InTurn")),
         )
-    except (ValueError, AttributeError, TypeError) as fault:
-        raise MalformedInput(f"the settings' Profiles[{number}] cannot be read: {fault}") from None
+    except (ValueError, AttributeError, TypeError) as error:
+        raise MalformedInput(f"the settings' Profiles[{number}] cannot be read: {error}") from None
 
 
-def doubtful_settings(conf):
+def doubtful_settings(document: Mapping[str, Any]) -> Iterator[str]:
     """A line for each part of the settings that was read the cautious way."""
-    for number, row in enumerate(conf.get("Profiles") or ()):
-        where = f"the settings' Profiles[{number}] ({row.get('Name')})"
-        if row.get("Effect") not in EFFECTS:
-            yield (
-                f"{where}: Effect is none of {', '.join(EFFECTS)}: {row.get('Effect')!r}; "
-                "it is held to be non-idempotent"
-            )
-        elif EFFECTS[row["Effect"]] == Effect.DEDUPLICATED:
-            if row.get("Group") not in ("all", "zone", "cell"):
-                yield (
-                    f"{where}: Group is none that is known: {row.get('Group')!r}; "
-                    "each endpoint is a group of its own"
-                )
-            if not (row.get("Window") or 0.0) > 0.0:
-                yield f"{where}: Window is {row.get('Window')!r}; nothing that may have run is sent again"
-
-
-def read_names(conf):
-    """The names by which sockets call what the module knows by number: four maps from name to number."""
-
-    def numbered(rows):
-        return {name: number for number, name in enumerate(rows or ())}
-
-    return (
-        numbered(row.get("Name") for row in conf.get("Profiles") or ()),
-        numbered(conf.get("Kinds")),
-        numbered(conf.get("Localities")),
-        numbered(row.get("Name") for row in conf.get("Realms") or ()),
+    for number, profile in enumerate(document.get("Profiles") or ()):
+        for doubt in _doubts(profile):
+            yield f"the settings' Profiles[{number}] ({profile.get('Name')}): {doubt}"
+
+
+def _doubts(profile: Mapping[str, Any]) -> Iterator[str]:
+    effect = profile.get("Effect")
+    if effect not in EFFECTS:
+        yield f"Effect is none of {', '.join(EFFECTS)}: {effect!r}; it is held to be non-idempotent"
+        return
+    if EFFECTS[effect] != Effect.DEDUPLICATED:
+        return
+    group = profile.get("Group")
+    if group not in DEDUPLICATION_GROUPS:
+        yield f"Group is none that is known: {group!r}; each endpoint is a group of its own"
+    window_s = profile.get("Window")
+    if not (window_s or 0.0) > 0.0:
+        yield f"Window is {window_s!r}; nothing that may have run is sent again"
+
+
+def read_names(document: Mapping[str, Any]) -> SettingNames:
+    """The names that the configuration, discovery and clients use for what the router knows by number."""
+    return SettingNames(
+        stream_type_numbers=_numbers_of(profile.get("Name") for profile in document.get("Profiles") or ()),
+        kind_numbers=_numbers_of(document.get("Kinds")),
+        zone_numbers=_numbers_of(document.get("Localities")),
+        tenant_numbers=_numbers_of(tenant.get("Name") for tenant in document.get("Realms") or ()),
     )
+
+
+def _numbers_of(names: Iterable[str] | None) -> dict[str, int]:
+    return {name: number for number, name in enumerate(names or ())}
+
+
+def _to_ms(seconds: float | None) -> float:
+    """Seconds (None: 0) as ms; ValueError unless finite."""
+    value = 1000.0 * (seconds or 0.0)
+    if not math.isfinite(value):
+        raise ValueError(f"{seconds} is no length of time")
+    return value
--- /dev/null
+++ b/swiftthread/service/delivery.py
@@ -0,0 +1,181 @@
+"""The life of an admitted event: attempts, final outcome, notification."""
+
+import anyio
+from anyio.abc import TaskGroup
+from loguru import logger
+
+from swiftthread.client.endpoint_client import EndpointClient, SendResult
+from swiftthread.client.result_notifier import ResultNotifier
+from swiftthread.routing.events import Event
+from swiftthread.routing.messages import NEVER_RAN, Abandon, Defer, Reject, Send, SendOutcome
+from swiftthread.routing.router import Router
+from swiftthread.service.clocks import Clock
+from swiftthread.service.scheduler import Scheduler
+from swiftthread.storage.decision import Decision, FinalOutcome
+from swiftthread.storage.pending_event import PendingEvent
+from swiftthread.storage.write_ahead_log import WriteAheadLog
+
+# ms before a log that took nothing is tried again; a latency objective has room for several.
+LOG_RETRY_PAUSE_MS = 100.0
+
+
+class EventDelivery:
+    """Carries each admitted event from its admission, or from the log, to its final outcome.
+
+    Attributes:
+        pending_bytes: Bytes of the bodies of the events in delivery.
+    """
+
+    def __init__(
+        self,
+        *,
+        router: Router,
+        scheduler: Scheduler,
+        log: WriteAheadLog,
+        endpoint_client: EndpointClient,
+        notifier: ResultNotifier,
+        stream_type_numbers: dict[str, int],
+        tenant_numbers: dict[str, int],
+        clock: Clock,
+        wall_clock: Clock,
+        tasks: TaskGroup,
+    ) -> None:
+        self.pending_bytes = 0
+        self._router = router
+        self._scheduler = scheduler
+        self._log = log
+        self._endpoint_client = endpoint_client
+        self._notifier = notifier
+        self._stream_type_numbers = stream_type_numbers
+        self._tenant_numbers = tenant_numbers
+        self._clock = clock
+        self._wall_clock = wall_clock
+        self._tasks = tasks
+
+    def add(self, pending: PendingEvent) -> Event:
+        """Hand an event to the router, with what the log knows of its attempts."""
+        now = self._clock()
+        wall_now = self._wall_clock()
+        if self._tenant_numbers and pending.tenant not in self._tenant_numbers:
+            logger.warning(
+                "{}: tenant {!r} is none of the settings'; it has no quota", pending.event_id, pending.tenant
+            )
+        event: Event = self._router.add_event(
+            now,
+            self._stream_type_numbers[pending.stream_type],
+            pending.destination,
+            pending.expires_at - wall_now,
+            self._tenant_numbers.get(pending.tenant),
+            pending.ordering_key,
+        )
+        pending.event = event
+        event.attempts = pending.attempts
+        if pending.may_have_run is not None:
+            sent_at, group = pending.may_have_run
+            # The wall clock may have been set back meanwhile: an attempt is never ahead of us.
+            event.may_have_run_at = now - max(0.0, wall_now - sent_at)
+            event.may_have_run_group = group
+        self.pending_bytes += len(pending.body)
+        return event
+
+    def start(self, pending: PendingEvent, event: Event) -> None:
+        """Deliver an event that was added, in a task of its own."""
+        self._tasks.start_soon(self._run, pending, event)
+
+    def resume(self) -> None:
+        """Go on with the events that the log holds."""
+        for pending in list(self._log.pending.values()):
+            if pending.stream_type not in self._stream_type_numbers:
+                self._end_unknown_stream_type(pending)
+                continue
+            event = self.add(pending)
+            if pending.decision is not None:
+                self._router.withdraw(event, self._clock())
+            self.start(pending, event)
+
+    def _end_unknown_stream_type(self, pending: PendingEvent) -> None:
+        logger.error(
+            "{} is pending, but of a stream type that is no more: {}; it ends",
+            pending.event_id,
+            pending.stream_type,
+        )
+        # What surely never ran may be submitted again.
+        outcome = FinalOutcome.ABANDONED if pending.may_have_run else FinalOutcome.REJECTED
+        self._tasks.start_soon(self._notify, pending, Decision(outcome, 0.0))
+
+    async def _run(self, pending: PendingEvent, event: Event) -> None:
+        """An event, from the moment that its client has heard of it to its end."""
+        try:
+            await self._deliver(pending, event)
+        except Exception:  # guards the other events: an error ends this one alone, its effect unknown
+            logger.exception("{}: the delivery failed; the event is abandoned", pending.event_id)
+            self._router.withdraw(event, self._clock())
+            pending.decision = Decision(FinalOutcome.ABANDONED, 0.0)
+        self._scheduler.remove(event)
+        if pending.decision is not None:
+            await self._notify(pending, pending.decision)
+        else:
+            self._log.append_ended(pending)
+        self.pending_bytes -= len(pending.body)
+
+    async def _deliver(self, pending: PendingEvent, event: Event) -> None:
+        """Attempt until the event is acknowledged, or its final outcome is decided."""
+        while pending.decision is None:
+            answer: Send | Reject | Abandon | Defer | None = await self._scheduler.wait_for_decision(event)
+            if isinstance(answer, Send):
+                answer = await self._attempt(pending, event, answer)
+            if answer is None:
+                return
+            if not isinstance(answer, Defer):
+                pending.decision = _final_decision(answer)
+
+    async def _attempt(
+        self, pending: PendingEvent, event: Event, send: Send
+    ) -> Reject | Abandon | Defer | None:
+        """One attempt, and what the router decides after it; None once the event is finished."""
+        is_logged = self._log.append_sent(pending, event.sent_group)
+        if is_logged:
+            result = await self._endpoint_client.send(pending, send)
+        else:
+            result = await self._skip_unlogged_send()
+        now = await self._scheduler.wait_for_tick()
+        answer = self._router.record_outcome(
+            event,
+            result.outcome,
+            now,
+            result.latency_ms,
+            result.retry_after_ms,
+            result.is_finished,
+            result.load_report,
+        )
+        self._scheduler.wake(event.destination)
+        # Where this attempt is not logged, the log has an earlier one as in flight.
+        if is_logged and result.outcome in NEVER_RAN:
+            self._log.append_never_ran(pending)
+        return None if result.is_finished else answer
+
+    @staticmethod
+    async def _skip_unlogged_send() -> SendResult:
+        """Result of a send that the log cannot take.
+
+        Not at once, or a full disk would be tried all the time.
+        """
+        await anyio.sleep(LOG_RETRY_PAUSE_MS / 1000.0)
+        return SendResult(SendOutcome.NOT_SENT, 0.0)
+
+    async def _notify(self, pending: PendingEvent, decision: Decision) -> None:
+        """Notify the platform of a final outcome once it is in the log, or the event has expired.
+
+        A process that comes back and knows nothing of it would deliver an event that its client has submitted
+        elsewhere.
+        """
+        while not self._log.append_decision(pending, decision) and self._wall_clock() < pending.expires_at:
+            await anyio.sleep(LOG_RETRY_PAUSE_MS / 1000.0)
+        await self._notifier.notify(pending.event_id, decision)
+        self._log.append_ended(pending)
+
+
+def _final_decision(answer: Reject | Abandon) -> Decision:
+    if isinstance(answer, Reject):
+        return Decision(FinalOutcome.REJECTED, answer.retry_after_ms)
+    return Decision(FinalOutcome.ABANDONED, 0.0)
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -1,320 +1,252 @@
-"""Events that wait, by what they wait for, so that a turn costs what can move and not what is held.
+"""Queues of pending events: a tick costs what can move, not what is held. No I/O.
 
-No I/O.
-
-The module decides all of it: its order, its `where`. Here is only known whom to ask. Events of one
-destination that fare alike stand in one `Group`, the next to go at its end; when that one is told "later", so
-would be all behind it, and none of them is asked. Events whose subject has others before them are in no group
-until their turn comes.
+The router decides everything: the order, and what becomes of each event. Known here is only whom to ask.
+Events of one destination that the router treats alike stand in one `QueueGroup`; when its most urgent event
+is deferred, so would be all behind it, and none of them is asked. An ordered event whose ordering key has
+others before it is in no group until it is the next.
 """
 
 import heapq
 import math
-from bisect import insort
 from itertools import count
+from typing import NamedTuple
+
+from swiftthread.routing.events import Destination, Event
+from swiftthread.routing.messages import Abandon, Defer, Reject, Send
+from swiftthread.routing.router import Router
+from swiftthread.service.queue_group import EVENT, QueueEntry, QueueGroup
+from swiftthread.service.queue_timers import EventTimers, GroupTimers
+
+# Events asked behind a deferred one where routes are separate or a call can be joined: what one of them waits
+# for, another may not.
+MAX_ASKED_BEHIND_DEFERRED = 3
+# ms: least time until an event is asked again whose deadline the router has moved.
+MIN_DEADLINE_EXTENSION_MS = 1.0
 
-from swiftthread.routing.messages import Defer, Send
 
-RESORT_MS, RESORT_MS_EACH = (
-    20.0,
-    0.05,
-)  # ms, + ms an event: a group's order is this old at most; ranks drift slowly,
-# and the sorting stays under a tenth of the time however long the group
-# Of a group whose routes are apart, or with a call to join: what one waits for, another may not
-APART_TRIES = 3
-SHED_TRIES = 8  # least urgent events looked at for one that can be handed back, in each group
+class EventDecision(NamedTuple):
+    """What the router decided for an event, or the exception with which it failed."""
 
+    event: Event
+    answer: Send | Reject | Abandon | Exception
 
-class QueueGroup:
-    """Events that fare alike. `rows`: (rank reversed, number, event) in order, the next to go last."""
 
-    __slots__ = (
-        "key",
-        "destination",
-        "rows",
-        "waiting",
-        "sorted_at",
-        "horizon_ms",
-        "asleep_until",
-        "wakes_at",
-    )
+class GroupHead(NamedTuple):
+    """The rank of a group's most urgent event; the lowest is asked first."""
 
-    def __init__(self, key, destination, now, span):
-        self.key, self.destination, self.rows, self.waiting = key, destination, [], 0
-        self.sorted_at, self.horizon_ms, self.asleep_until, self.wakes_at = now, span, -math.inf, math.inf
+    rank: tuple[float, float]
+    sequence_number: int
+    group: QueueGroup
 
 
 class PendingQueues:
-    """Owner of the order in which waiting events are asked for."""
-
-    def __init__(self, router):
-        self.router, self.number = router, count()
-        # Waiting event -> its group, None while its ordering key has others; emptied as it leaves.
-        self.group_of = {}
-        # event in a group -> its row there; any other row of it is from before. Emptied with it
-        self.row_of = {}
-        self.groups, self.groups_by_destination = (
-            {},
-            {},
-        )  # key -> group; destination -> its groups; emptied with their last event
-        self.ready = {}  # groups to ask in the next turn; emptied by it
-        # Groups that may wait for a slot of any destination; emptied by the next outcome.
-        self.waiting_for_slot = {}
-        # heap of (moment, number, group), one that counts a group; emptied as moments pass
-        self.sleeping = []
-        self.timed = []  # heap of [moment, number, event]: ends, and turns after a rest; emptied as they pass
-        self.ends = {}  # waiting event -> the entry of its end in `timed`; emptied as it leaves
-        self.stale = 0  # entries of `timed` whose event has left; they are sorted out when they are many
-        # what moved in a turn; emptied at its end, or at the next one's where a fault broke it off
-        self.moved = []
-        self.released_ordering_keys = {}  # subjects of which an event has left or ended; emptied each turn
-
-    def __len__(self):
+    """Pending events, and the order in which the router is asked for them.
+
+    Attributes:
+        group_of: Pending event -> its group, None while its ordering key has others; emptied as events leave.
+        groups: Groups by key; emptied with their last event.
+        groups_by_destination: The same groups (as an ordered set) by destination; emptied with them.
+        waiting_for_slot: Ordered set of groups that may wait for a slot of any destination; emptied by the
+            next outcome.
+        event_timers: Deadlines and rests of events.
+        group_timers: Wake-ups of deferred groups.
+    """
+
+    def __init__(self, router: Router) -> None:
+        self.router = router
+        self.group_of: dict[Event, QueueGroup | None] = {}
+        self.groups: dict[tuple, QueueGroup] = {}
+        self.groups_by_destination: dict[Destination, dict[QueueGroup, bool]] = {}
+        self.waiting_for_slot: dict[QueueGroup, bool] = {}
+        self.event_timers = EventTimers()
+        self.group_timers = GroupTimers()
+        self._next_sequence_number = count()
+        # Ordered set of groups to ask in the next tick; emptied by it.
+        self._ready: dict[QueueGroup, bool] = {}
+        # Decided in this tick; emptied at its end, or at the next one's where an error broke it off.
+        self._decided: list[EventDecision] = []
+        # Ordered set of the ordering keys of which an event has left; emptied by each tick.
+        self._released_ordering_keys: dict[int, bool] = {}
+
+    def __len__(self) -> int:
         return len(self.group_of)
 
-    def add(self, event, now):
-        """An event waits to be asked for."""
+    def add(self, event: Event, now: float) -> None:
+        """Queue an event until it is decided."""
         self.group_of[event] = None
-        self._ends_at(event, self.router.give_up_at(event, now))
-        self._seat(event, now)
+        self.event_timers.set_deadline(event, self.router.give_up_at(event, now))
+        self._enqueue(event, now)
+
+    def remove(self, event: Event) -> None:
+        """Forget an event that ended or was decided: the next of its ordering key may go."""
+        self._leave_group(event)
+        self.group_of.pop(event, None)
+        self.event_timers.cancel(event)
+        if event.ordering_key:
+            self._released_ordering_keys[event.ordering_key] = True
 
-    def _ends_at(self, event, moment):
-        entry = self.ends[event] = [moment, next(self.number), event]
-        heapq.heappush(self.timed, entry)
+    def wake(self, destination: Destination | None = None) -> None:
+        """Ask again in the next tick, for the router has learnt something of a destination (None: of any).
 
-    def _seat(self, event, now):
+        Its groups are asked, and those that may wait for a slot.
+        """
+        if destination is None:
+            self._ready.update(dict.fromkeys(self.groups.values(), True))
+            return
+        self._ready.update(self.groups_by_destination.get(destination, {}))
+        if not self.router.all_slots_in_use():
+            self._ready.update(self.waiting_for_slot)
+            self.waiting_for_slot.clear()
+
+    def next_wakeup_at(self) -> float:
+        """When the next tick is due (ms); -inf when events can move now."""
+        if self._ready or self._released_ordering_keys:
+            return -math.inf
+        return min(self.group_timers.next_at(), self.event_timers.next_at())
+
+    def tick(self, now: float) -> list[EventDecision]:
+        """Ask the router; return what it decided, in the order asked. Those events are queued no more.
+
+        An event for which the router fails is returned with its exception: the others must not wait for it.
+        """
+        self._handle_due_events(now)
+        self._enqueue_next_in_order(now)
+        for group in self.group_timers.pop_due(now):
+            self._ready[group] = True
+        if self.router.is_over_capacity():
+            self._shed_load(now)
+        self._ask_ready_groups(now)
+        decided = self._decided
+        self._decided = []
+        return decided
+
+    def _enqueue(self, event: Event, now: float) -> None:
+        """Put an event into its group, unless its ordering key has others before it or rests."""
         turn_at = self.router.ordering_turn_at(event, now)
         if turn_at > now:
             if turn_at < math.inf:
-                heapq.heappush(self.timed, [turn_at, next(self.number), event])
+                self.event_timers.start_rest(event, turn_at)
             return
         key = (event.destination, *self.router.queue_class(event))
         group = self.groups.get(key)
         if group is None:
-            group = self.groups[key] = QueueGroup(
-                key, event.destination, now, self.router.ranking_horizon_ms(event.destination, now)
-            )
+            group = self.groups[key] = QueueGroup(key, event.destination, self.router, now)
             self.groups_by_destination.setdefault(event.destination, {})[group] = True
-            self.ready[group] = True
-        insort(group.rows, self._row(event, group))
-        group.waiting += 1
+            self._ready[group] = True
+        group.add(event, next(self._next_sequence_number))
         self.group_of[event] = group
 
-    def _row(self, event, group):
-        urgency, slo_at = self.router.urgency_rank(event, group.horizon_ms, group.sorted_at)
-        self.row_of[event] = row = -urgency, -slo_at, next(self.number), event
-        return row
-
-    def _stands(self, row):
-        """Whether its event waits by this row.
-
-        One that was asked out of order leaves its row behind, and comes back with another when its send ends:
-        it must not be asked by both.
-        """
-        return self.row_of.get(row[3]) is row
-
-    def wake(self, destination=None):
-        """Something was learnt of a destination (None: of any).
-
-        Its groups are asked, and who may wait for a slot.
-        """
-        if destination is None:
-            self.ready.update(dict.fromkeys(self.groups.values(), True))
-            return
-        self.ready.update(self.groups_by_destination.get(destination, ()))
-        if not self.router.all_slots_in_use():
-            self.ready.update(self.waiting_for_slot)
-            self.waiting_for_slot.clear()
-
-    def remove(self, event):
-        """An event ended, or is asked for no more: the next of its subject may go."""
-        self._unseat(event)
-        self.group_of.pop(event, None)
-        if (entry := self.ends.pop(event, None)) is not None:
-            entry[2] = None  # its body must not stay in memory for its whole max age
-            self.stale += 1
-            if self.stale > 64 and 2 * self.stale > len(self.timed):
-                self.timed = [entry for entry in self.timed if entry[2] is not None]
-                heapq.heapify(self.timed)
-                self.stale = 0
-        if event.ordering_key:
-            self.released_ordering_keys[event.ordering_key] = True
-
-    def _unseat(self, event):
-        """Out of its group; the row is passed over when it comes up. A group without events is gone."""
+    def _leave_group(self, event: Event) -> None:
+        """Take an event out of its group; a group without events goes."""
         group = self.group_of.get(event)
         if group is None:
             return
         self.group_of[event] = None
-        del self.row_of[event]
-        group.waiting -= 1
-        if not group.waiting:
-            del self.groups[group.key]
-            del self.groups_by_destination[group.destination][group]
-            if not self.groups_by_destination[group.destination]:
-                del self.groups_by_destination[group.destination]
-            self.waiting_for_slot.pop(group, None)
-            self.ready.pop(group, None)
-            group.rows = []
-
-    def next_wakeup_at(self):
-        """When the next turn is due; -inf when events can move now."""
-        if self.ready or self.released_ordering_keys:
-            return -math.inf
-        while self.timed and self.timed[0][2] not in self.group_of:
-            self._pop_timed()
-        return min(
-            self.sleeping[0][0] if self.sleeping else math.inf, self.timed[0][0] if self.timed else math.inf
-        )
-
-    def _pop_timed(self):
-        entry = heapq.heappop(self.timed)
-        self.stale -= entry[2] is None
-        return entry
-
-    def tick(self, now):
-        """[(event, Send, Decline or Discard)] of all that move now, in the order asked.
-
-        They wait no more. An event for which the module fails comes with its exception: the others must not
-        wait for it.
-        """
-        self._time_passes(now)
-        self._subjects_go_on(now)
-        while self.sleeping and self.sleeping[0][0] <= now:
-            moment, _, group = heapq.heappop(self.sleeping)
-            if group.wakes_at == moment and group.waiting:
-                group.wakes_at = math.inf
-                if group.asleep_until <= now:
-                    self.ready[group] = True
-                else:
-                    self._rings(group)
-        if self.router.is_over_capacity():
-            self._shed(now)
-        self._ask(now)
-        moved, self.moved = self.moved, []
-        return moved
-
-    def _subjects_go_on(self, now):
-        for subject in self.released_ordering_keys:
-            event = self.router.next_in_order(subject)
+        group.discard(event)
+        if not len(group):
+            self._remove_group(group)
+
+    def _remove_group(self, group: QueueGroup) -> None:
+        del self.groups[group.key]
+        destination_groups = self.groups_by_destination[group.destination]
+        del destination_groups[group]
+        if not destination_groups:
+            del self.groups_by_destination[group.destination]
+        self.waiting_for_slot.pop(group, None)
+        self._ready.pop(group, None)
+
+    def _handle_due_events(self, now: float) -> None:
+        """Ask for events at their deadline, and queue those whose ordering key has rested."""
+        for event, is_deadline in self.event_timers.pop_due(now):
+            if not is_deadline:
+                if self.group_of[event] is None:
+                    self._enqueue(event, now)
+            elif isinstance(self._ask(event, now), Defer):  # the router has moved its deadline
+                extended_to = self.router.give_up_at(event, now)
+                self.event_timers.set_deadline(event, max(now + MIN_DEADLINE_EXTENSION_MS, extended_to))
+
+    def _enqueue_next_in_order(self, now: float) -> None:
+        for ordering_key in self._released_ordering_keys:
+            event = self.router.next_in_order(ordering_key)
             if event in self.group_of and self.group_of[event] is None:
-                self._seat(event, now)
-        self.released_ordering_keys.clear()
-
-    def _time_passes(self, now):
-        while self.timed and self.timed[0][0] <= now:
-            entry = self._pop_timed()
-            event = entry[2]
-            if event not in self.group_of:
-                continue
-            if self.ends[event] is entry:
-                if isinstance(self._one(event, now), Defer):  # the module has moved its end
-                    self._ends_at(event, max(now + 1.0, self.router.give_up_at(event, now)))
-            elif self.group_of[event] is None:
-                self._seat(event, now)
-
-    def _one(self, event, now):
-        """Ask for one event; when it moves it waits no more."""
+                self._enqueue(event, now)
+        self._released_ordering_keys.clear()
+
+    def _ask(self, event: Event, now: float) -> Send | Reject | Abandon | Defer | Exception:
+        """Ask the router for one event, which is queued no more once it is decided."""
+        answer: Send | Reject | Abandon | Defer | Exception
         try:
             answer = self.router.decide(event, now)
-        except Exception as fault:  # it ends this event alone, in whose life it is raised
-            answer = fault
+        except Exception as error:  # ends this event alone: raised where its decision is awaited
+            answer = error
         if not isinstance(answer, Defer):
             self.remove(event)
-            self.moved.append((event, answer))
+            self._decided.append(EventDecision(event, answer))
         return answer
 
-    def _shed(self, now):
-        """Over its holding room the module hands back.
-
-        The least urgent of the longest queue go, not the next to go.
-        """
+    def _shed_load(self, now: float) -> None:
+        """Over capacity, ask for the least urgent events of the longest queues: the router rejects them."""
         for destination in sorted(
             self.groups_by_destination, key=lambda destination: -destination.pending_count
         ):
-            rows = [
-                row
-                for group in self.groups_by_destination[destination]
-                for row in self._least(group, self.router.excess_pending())
-            ]
-            for _, _, _, event in sorted(rows, key=lambda row: row[:3]):
+            candidates: list[QueueEntry] = []
+            for group in self.groups_by_destination[destination]:
+                candidates += group.least_urgent_rejectable(self.router.excess_pending())
+            for _, _, _, event in sorted(candidates, key=lambda entry: entry[:3]):
                 if not self.router.is_over_capacity():
                     return
-                self._one(event, now)
+                self._ask(event, now)
             if not self.router.is_over_capacity():
                 return
 
-    def _least(self, group, most):
-        """The least urgent of a group that can be handed back, so many at most."""
-        rows = []
-        for at, row in enumerate(group.rows):
-            if len(rows) >= most or at >= most + SHED_TRIES:
-                break
-            if self._stands(row) and self.router.is_safe_to_reject(row[3]):
-                rows.append(row)
-        return rows
-
-    def _ask(self, now):
-        """Ask for the next of each ready group, always the most urgent of all, while they move."""
-        ready, self.ready = self.ready, {}
-        heads, sent = [], set()
+    def _ask_ready_groups(self, now: float) -> None:
+        """Ask for the most urgent event of all ready groups, again and again, while they move."""
+        ready = self._ready
+        self._ready = {}
+        heads: list[GroupHead] = []
+        sent_to: set[Destination] = set()
         for group in ready:
-            self._head(group, now, heads)
+            self._push_head(group, now, heads)
         while heads:
-            _, _, group = heapq.heappop(heads)
-            if self.router.all_slots_in_use() and group.destination not in sent:
-                self.waiting_for_slot[group], group.asleep_until = (
-                    True,
-                    math.inf,
-                )  # nothing moves but what joins a call of this turn
+            group = heapq.heappop(heads).group
+            if self.router.all_slots_in_use() and group.destination not in sent_to:
+                # Nothing moves but what joins a call of this tick.
+                self.waiting_for_slot[group] = True
+                group.asleep_until = math.inf
                 continue
-            event = group.rows[-1][3]
-            answer = self._one(event, now)
+            event = group.entries[-1][EVENT]
+            answer = self._ask(event, now)
             if isinstance(answer, Defer):
-                self._sleeps(group, event, now)
+                self._defer(group, event, now)
                 continue
             if isinstance(answer, Send):
-                sent.add(group.destination)
-            self._head(group, now, heads)
-
-    def _head(self, group, now, heads):
-        """Put a group's next event among those to ask; a group without any is gone."""
-        if now - group.sorted_at > RESORT_MS + RESORT_MS_EACH * len(group.rows):
-            group.sorted_at, group.horizon_ms = now, self.router.ranking_horizon_ms(group.destination, now)
-            group.rows = sorted(self._row(row[3], group) for row in group.rows if self._stands(row))
-        rows = group.rows
-        while rows and not self._stands(rows[-1]):
-            rows.pop()
-        if not rows:
-            return
-        event = rows[-1][3]
-        if (
-            self.router.ordering_turn_at(event, now) > now
-        ):  # an earlier send of its subject came to rest meanwhile
-            rows.pop()
-            self._unseat(event)
-            self._seat(event, now)
-            self._head(group, now, heads)
-            return
-        heapq.heappush(
-            heads, (self.router.urgency_rank(event, group.horizon_ms, now), next(self.number), group)
-        )
-
-    def _sleeps(self, group, event, now):
-        """Told "later": all that fare alike wait until then, or for what ends before."""
-        wait = self.router.next_check(event, now)
-        group.asleep_until = wait.at
-        if wait.or_outcome and self.router.slots_are_scarce():
+                sent_to.add(group.destination)
+            self._push_head(group, now, heads)
+
+    def _push_head(self, group: QueueGroup, now: float, heads: list[GroupHead]) -> None:
+        """Put a group's most urgent event among those to ask, if it has any."""
+        while True:
+            group.sort_if_due(now, self._next_sequence_number)
+            event = group.next_event()
+            if event is None:
+                return
+            if self.router.ordering_turn_at(event, now) <= now:
+                rank = group.rank(event, now)
+                heapq.heappush(heads, GroupHead(rank, next(self._next_sequence_number), group))
+                return
+            # An earlier attempt of its ordering key ended meanwhile, and the key rests.
+            group.entries.pop()
+            self._leave_group(event)
+            self._enqueue(event, now)
+
+    def _defer(self, group: QueueGroup, event: Event, now: float) -> None:
+        """The most urgent event was deferred: its group waits until then, or for what ends before."""
+        next_check = self.router.next_check(event, now)
+        group.asleep_until = next_check.at
+        if next_check.or_outcome and self.router.slots_are_scarce():
             self.waiting_for_slot[group] = True
-        self._rings(group)
+        self.group_timers.start(group)
         destination = group.destination
         if self.router.has_separate_routes(destination) or self.router.has_joinable_call(destination, now):
-            for row in group.rows[-2 : -2 - APART_TRIES : -1]:
-                if self._stands(row):
-                    self._one(row[3], now)
-
-    def _rings(self, group):
-        """One entry a group, at its moment or before: an outcome can move the moment many times a second."""
-        if group.asleep_until < group.wakes_at:
-            group.wakes_at = group.asleep_until
-            heapq.heappush(self.sleeping, (group.asleep_until, next(self.number), group))
+            for event_behind in group.events_behind_next(MAX_ASKED_BEHIND_DEFERRED):
+                self._ask(event_behind, now)
--- a/swiftthread/service/scheduler.py
+++ b/swiftthread/service/scheduler.py
@@ -1,122 +1,164 @@
-"""When each event is asked for. Which are asked, and in which order: queues.py and the module."""
+"""The ticks of a node: when the router is asked and told.
+
+Which events are asked for, and in which order, is the work of `pending_queues`.
+"""
 
 import math
+from collections.abc import Callable
+from typing import Generic, TypeVar
 
 import anyio
 from anyio.lowlevel import checkpoint
 from loguru import logger
 
-from swiftthread.service.pending_queues import PendingQueues
+from swiftthread.routing.events import Destination, Event
+from swiftthread.routing.messages import Abandon, Reject, Send
+from swiftthread.routing.router import Router
+from swiftthread.service.clocks import Clock
+from swiftthread.service.pending_queues import EventDecision, PendingQueues
+
+Result = TypeVar("Result")
 
 
-class TickWaiter:
-    """One wait for a turn; it comes with its moment and what the module said."""
+class TickWaiter(Generic[Result]):
+    """One task that waits for the tick which concerns it."""
 
-    __slots__ = ("begun", "said")
+    __slots__ = ("_resolved", "_result", "_error")
 
-    def __init__(self):
-        self.begun, self.said = anyio.Event(), None
+    def __init__(self) -> None:
+        self._resolved = anyio.Event()
+        self._result: Result
+        self._error: Exception | None = None
 
-    async def come(self):
-        """Wait for the answer to what was asked, and take it out."""
-        await self.begun.wait()
-        if isinstance(self.said[-1], Exception):
-            raise self.said[-1]
-        return self.said
+    async def wait(self) -> Result:
+        """Wait for the result; raises the exception given to `fail`."""
+        await self._resolved.wait()
+        if self._error is not None:
+            raise self._error
+        return self._result
 
-    def begin(self, *said):
-        """Answer whoever waits."""
-        self.said = said
-        self.begun.set()
+    def resolve(self, result: Result) -> None:
+        """Let the task go on with this result."""
+        self._result = result
+        self._resolved.set()
+
+    def fail(self, error: Exception) -> None:
+        """Raise an exception in the waiting task."""
+        self._error = error
+        self._resolved.set()
 
 
 class Scheduler:
-    """Owner of the timers of all events."""
-
-    def __init__(self, router, clock, gap_ms):
-        self.router, self.clock, self.tick_ms, self.queues = router, clock, gap_ms, PendingQueues(router)
-        self.tick_waiters = []  # those with something to tell; emptied each turn
-        self.decision_waiters = {}  # waiting event -> its turn; emptied as they move
-        self.wakeup, self.tick_requested, self.sleeps_until = anyio.Event(), False, -math.inf
-        self.is_sending = True  # set to False by the stop: outcomes are still heard, no event is asked for
-
-    async def wait_for_tick(self):
-        """Wait for the beginning of a turn, to tell the module what was learnt; its moment."""
-        waiter = TickWaiter()
-        self.tick_waiters.append(waiter)
-        self.wakeup.set()
-        return (await waiter.come())[0]
-
-    async def wait_for_decision(self, event):
-        """Wait until the event moves: (the moment, a send, a decline or a discard)."""
-        waiter = self.decision_waiters[event] = TickWaiter()
-        now = self.clock()
-        self.queues.add(event, now)
-        if self.queues.next_wakeup_at() < self.sleeps_until:
-            self.wakeup.set()
-        return await waiter.come()
-
-    def request_tick(self):
-        """A turn is wanted, whatever there is to ask."""
-        self.tick_requested = True
-        self.wakeup.set()
-
-    def wake(self, destination=None):
-        """The module was told of an outcome at a destination, or of a list (None)."""
-        self.queues.wake(destination)
-
-    def remove(self, event):
-        """An event has ended."""
-        self.queues.remove(event)
-        self.decision_waiters.pop(event, None)
-
-    async def run(self, once_asked):
-        """Give turns until cancelled.
-
-        `once_asked(now, moved, late)` acts on what each turn's events were told: how many moved, and how many
-        ms the turn came late for want of the core.
+    """Gives ticks, at least `tick_ms` apart, while there is something to ask the router or to tell it.
+
+    Attributes:
+        tick_ms: Pause between two ticks.
+        is_sending: Cleared by the shutdown: outcomes are still recorded, but no event is asked for.
+    """
+
+    def __init__(self, router: Router, clock: Clock, tick_ms: float) -> None:
+        self.tick_ms = tick_ms
+        self.is_sending = True
+        self._router = router
+        self._clock = clock
+        self._queues = PendingQueues(router)
+        # Tasks that have something to tell the router; emptied by each tick.
+        self._tick_waiters: list[TickWaiter[float]] = []
+        # Pending event -> the task that waits for its decision; emptied as events are decided or end.
+        self._decision_waiters: dict[Event, TickWaiter[Send | Reject | Abandon]] = {}
+        self._wakeup = anyio.Event()
+        self._is_tick_requested = False
+        self._sleeps_until = -math.inf  # ms; -inf while awake
+
+    async def wait_for_tick(self) -> float:
+        """Wait for the beginning of a tick, to tell the router what was learnt; returns its moment in ms."""
+        waiter: TickWaiter[float] = TickWaiter()
+        self._tick_waiters.append(waiter)
+        self._wakeup.set()
+        return await waiter.wait()
+
+    async def wait_for_decision(self, event: Event) -> Send | Reject | Abandon:
+        """Queue an event and wait until the router has decided it; raises what the router raised for it."""
+        waiter: TickWaiter[Send | Reject | Abandon] = TickWaiter()
+        self._decision_waiters[event] = waiter
+        self._queues.add(event, self._clock())
+        if self._queues.next_wakeup_at() < self._sleeps_until:
+            self._wakeup.set()
+        return await waiter.wait()
+
+    def request_tick(self) -> None:
+        """Give a tick soon, whatever there is to ask."""
+        self._is_tick_requested = True
+        self._wakeup.set()
+
+    def wake(self, destination: Destination | None = None) -> None:
+        """Ask again: the router has learnt something of a destination (None: of any)."""
+        self._queues.wake(destination)
+
+    def remove(self, event: Event) -> None:
+        """Forget an event that has ended."""
+        self._queues.remove(event)
+        self._decision_waiters.pop(event, None)
+
+    async def run(self, on_tick: Callable[[float, int, float], None]) -> None:
+        """Give ticks until cancelled.
+
+        Args:
+            on_tick: Called after each tick with its moment (ms), the number of events decided in it, and the
+                ms by which it came late for want of CPU time.
         """
-        late = 0.0
+        late_ms = 0.0
         while True:
             try:
                 await self._sleep()
-                now = self.clock()
-                moved = await self._turn(now)
-                once_asked(now, moved, late)
-            except Exception:  # guards the node: the next turn asks all again
-                logger.exception("a turn failed")
-                self.queues.wake()
-            begun = self.clock()
+                now = self._clock()
+                decided_count = await self._tick(now)
+                on_tick(now, decided_count, late_ms)
+            except Exception:  # guards the node: the next tick asks for all events again
+                logger.exception("a tick failed")
+                self._queues.wake()
+            pause_began_at = self._clock()
             await anyio.sleep(self.tick_ms / 1000.0)
-            late = self.clock() - begun - self.tick_ms
-
-    async def _sleep(self):
-        self.wakeup, now = anyio.Event(), self.clock()
-        until = min(self.queues.next_wakeup_at(), self.router.next_wakeup_at(now))
-        if self.tick_waiters or self.tick_requested or until <= now and self.is_sending:
-            self.tick_requested = False
+            late_ms = self._clock() - pause_began_at - self.tick_ms
+
+    async def _sleep(self) -> None:
+        """Wait until a tick is due or wanted."""
+        self._wakeup = anyio.Event()
+        now = self._clock()
+        until = min(self._queues.next_wakeup_at(), self._router.next_wakeup_at(now))
+        if self._tick_waiters or self._is_tick_requested or until <= now and self.is_sending:
+            self._is_tick_requested = False
             return
-        self.sleeps_until = until
-        with anyio.move_on_after((until - now) / 1000.0 if until < math.inf and self.is_sending else None):
-            await self.wakeup.wait()
-        self.sleeps_until = -math.inf
-
-    async def _turn(self, now):
-        heard, self.tick_waiters = self.tick_waiters, []
-        for waiter in heard:
-            waiter.begin(now)
-        if heard:
+        self._sleeps_until = until
+        timeout_s = (until - now) / 1000.0 if until < math.inf and self.is_sending else None
+        with anyio.move_on_after(timeout_s):
+            await self._wakeup.wait()
+        self._sleeps_until = -math.inf
+
+    async def _tick(self, now: float) -> int:
+        """Let those with outcomes tell them, then ask for events; returns how many were decided."""
+        waiters = self._tick_waiters
+        self._tick_waiters = []
+        for waiter in waiters:
+            waiter.resolve(now)
+        if waiters:
             await checkpoint()  # they run up to their next wait
         if not self.is_sending:
             return 0
-        moved = self.queues.tick(now)
-        for event, answer in moved:
-            if (
-                waiter := self.decision_waiters.pop(event, None)
-            ) is None:  # guards the others that moved in this turn
-                logger.error("an event moved that nobody asked for")
-                continue
-            waiter.begin(now, answer)
-        if moved:
+        decisions = self._queues.tick(now)
+        for decision in decisions:
+            self._hand_over(decision)
+        if decisions:
             await checkpoint()
-        return len(moved)
+        return len(decisions)
+
+    def _hand_over(self, decision: EventDecision) -> None:
+        """Hand a decision to the task that waits for it."""
+        event, answer = decision
+        waiter = self._decision_waiters.pop(event, None)
+        if waiter is None:  # an error of ours; the other decisions of this tick are delivered all the same
+            logger.error("a decision came for an event that nobody waits for")
+        elif isinstance(answer, Exception):
+            waiter.fail(answer)
+        else:
+            waiter.resolve(answer)
--- a/tests/test_faults.py
+++ b/tests/service/test_internal_errors.py
@@ -1,4 +1,4 @@
-"""A fault of our own, wherever it comes up, ends one event, call or client at most, and never the node."""
+"""An error of our own, wherever it comes up, ends one event, call or client at most, and never the node."""
 
 import contextlib
 from pathlib import Path
@@ -11,9 +11,9 @@
 def started(folder, fault, *endpoints, **settings):
     here = Path(__file__).parent
     node = NodeProcess(
-        folder, *endpoints, environ={"FAULT": fault, "PYTHONPATH": str(here.parent)}, **settings
+        folder, *endpoints, environ={"FAULT": fault, "PYTHONPATH": str(here.parents[1])}, **settings
     )
-    node.module, node.home = "faulty", here
+    node.module, node.home = "node_with_fault", here
     return node
 
 
@@ -33,17 +33,17 @@
     "fault",
     [
         "swiftthread.routing.router:Router.endpoints_to_probe 3 4",
-        "swiftthread.service.pending_queues:PendingQueues._ask 3",
+        "swiftthread.service.pending_queues:PendingQueues._ask_ready_groups 3",
         "swiftthread.routing.router:Router.next_wakeup_at 3",
     ],
 )
-def test_a_fault_in_a_turn_is_one_turn_less(tmp_path, fault):
+def test_a_fault_in_a_tick_is_one_tick_less(tmp_path, fault):
     endpoint = FakeEndpoint()
     with started(tmp_path, fault, endpoint) as node:
         for _ in range(4):
             assert node.hand_in() == 202
         until(lambda: len(endpoint.calls) == 4 and not node.held())
-        assert "a turn failed" in still_serves(node, endpoint)
+        assert "a tick failed" in still_serves(node, endpoint)
 
 
 def test_a_fault_where_an_event_is_decided_ends_that_event_alone(tmp_path):
@@ -55,18 +55,20 @@
         assert list(node.notices().values()) == ["given_up"] and not set(node.notices()) & set(
             endpoint.idents()
         )
-        assert "the life of an event failed" in still_serves(node, endpoint)
+        assert "the delivery failed; the event is abandoned" in still_serves(node, endpoint)
 
 
-def test_what_moved_before_a_fault_in_the_same_turn_is_not_lost(tmp_path):
-    """The first of two events was let go, and its slot booked, when the turn broke off."""
+def test_what_was_decided_before_a_fault_in_the_same_tick_is_not_lost(tmp_path):
+    """The first of two events was decided, and its slot booked, when the tick broke off."""
     first, second = FakeEndpoint(), FakeEndpoint(ident="s-2", cell=2)
-    with started(tmp_path, "swiftthread.service.pending_queues:PendingQueues._head 3", first, second) as node:
+    with started(
+        tmp_path, "swiftthread.service.pending_queues:PendingQueues._push_head 3", first, second
+    ) as node:
         with node.open() as one, node.open() as two:
             one.sendall(node.bytes_of()), two.sendall(node.bytes_of(destination=2))
             until(lambda: first.calls and second.calls and not node.held())
         assert len(first.calls) == len(second.calls) == 1
-        assert "a turn failed" in still_serves(node, first)
+        assert "a tick failed" in still_serves(node, first)
 
 
 def test_a_fault_in_a_notice_tells_it_again(tmp_path):
@@ -103,7 +105,7 @@
         assert "a probe failed" in still_serves(node, endpoint)
 
 
-def test_a_fault_in_an_accept_turns_away_that_client_alone(tmp_path):
+def test_a_fault_in_an_accept_rejects_that_client_alone(tmp_path):
     endpoint = FakeEndpoint()
     with started(tmp_path, "swiftthread.server.http_server:Connection 3", endpoint) as node:
         for _ in range(4):
--- a/tests/test_queues.py
+++ b/tests/service/test_pending_queues.py
@@ -1,7 +1,4 @@
-"""Queues of waiting events.
-
-The same decisions as asking for every event, at a cost that does not grow with them.
-"""
+"""Queues of pending events: the same decisions as asking for every event, at a cost that does not grow."""
 
 import copy
 import math
@@ -13,7 +10,7 @@
 from swiftthread.routing.messages import Defer, Reject, Send, SendOutcome
 from swiftthread.routing.router import Router
 from swiftthread.routing.settings import Effect, Settings, StreamType
-from swiftthread.service import pending_queues
+from swiftthread.service import queue_group
 from swiftthread.service.pending_queues import PendingQueues
 
 STREAMS = [
@@ -32,7 +29,7 @@
 ]
 
 
-def module(destinations=1, rate=50.0, endpoints=2, **more):
+def make_router(destinations=1, rate=50.0, endpoints=2, **more):
     made = Router(
         Settings(
             **(
@@ -59,7 +56,7 @@
 
 
 class Counted:
-    """A module whose calls of `where` are counted."""
+    """A router whose calls of `decide` are counted."""
 
     def __init__(self, made):
         self.made, self.asked = made, 0
@@ -73,7 +70,7 @@
 
 
 def served(made, held, seconds=5.0, latency=20.0, destinations=1):
-    """Hold so many events and serve them for a while: (calls of `where`, events that moved)."""
+    """Hold so many events and serve them for a while: (calls of `decide`, events that moved)."""
     counted = Counted(made)
     waiting, now, moved, out = PendingQueues(counted), 0.0, 0, []
     for number in range(held):
@@ -98,7 +95,7 @@
     for held in (100, 1000, 10_000):
         streams = [stream._replace(max_age_ms=10.0**6) for stream in STREAMS]
         asked, moved = served(
-            module(destinations, rate, stream_types=streams, max_calls_in_flight=16),
+            make_router(destinations, rate, stream_types=streams, max_calls_in_flight=16),
             held,
             destinations=destinations,
         )
@@ -107,8 +104,8 @@
     assert each[2] < 1.3 * each[1] and each[2] < 6.0, each
 
 
-def test_a_thousand_that_wait_for_a_told_wait_are_asked_once_it_ends():
-    made = module(rate=100.0, max_calls_in_flight=1000)
+def test_a_thousand_that_wait_for_a_retry_after_are_asked_once_it_ends():
+    made = make_router(rate=100.0, max_calls_in_flight=1000)
     counted = Counted(made)
     waiting = PendingQueues(counted)
     first = made.add_event(0.0, 0, 0, 60_000.0)
@@ -126,8 +123,8 @@
     assert moved and moved[0] >= 1505 and counted.asked < 4 * len(moved) + 10
 
 
-def test_ends_come_in_time_for_every_event_in_whatever_it_waits():
-    made = module(rate=1.0, max_calls_in_flight=1)
+def test_deadlines_are_kept_for_every_event_in_whatever_it_waits():
+    made = make_router(rate=1.0, max_calls_in_flight=1)
     waiting, ended, left = PendingQueues(made), {}, {}
     for number in range(40):
         event = made.add_event(0.0, number % 4, 0, 500.0 + 10.0 * number, subject=number % 3 + 1)
@@ -140,11 +137,12 @@
                 waiting.remove(event)
     assert len(ended) >= 37 and len(waiting) == 0
     assert all(left[event] - 40.0 <= at <= left[event] for event, at in ended.items())
-    assert waiting.ends == {} and waiting.groups == {} and waiting.groups_by_destination == {}
+    assert waiting.event_timers.deadlines == {}
+    assert waiting.groups == {} and waiting.groups_by_destination == {}
 
 
-def test_a_subject_goes_one_at_a_time_in_order():
-    made = module(rate=0.0, max_calls_in_flight=10)
+def test_an_ordering_key_goes_one_at_a_time_in_order():
+    made = make_router(rate=0.0, max_calls_in_flight=10)
     waiting, lines = PendingQueues(made), []
     events = [made.add_event(0.0, 3, 0, 7000.0, subject=7) for _ in range(5)]
     for event in reversed(events):
@@ -158,8 +156,8 @@
     assert lines == [0, 1, 2, 3, 4]
 
 
-def test_over_its_room_the_least_urgent_are_handed_back():
-    made = module(2, rate=1.0, max_calls_in_flight=4, max_pending_events=50)
+def test_over_capacity_the_least_urgent_are_rejected():
+    made = make_router(2, rate=1.0, max_calls_in_flight=4, max_pending_events=50)
     waiting = PendingQueues(made)
     made.add_event(0.0, 0, 1, 6000.0)  # another queue, a short one
     events = [made.add_event(0.0, number % 2, 0, 3000.0 + 50.0 * number) for number in range(60)]
@@ -172,12 +170,12 @@
 
 
 class Naive:
-    """Asks for every event in each turn: those at their end first, the rest in the module's order."""
+    """Asks for every event in each tick: those at their deadline first, the rest in the router's order."""
 
     def __init__(self, made, events):
         self.made, self.events = made, set(events)
 
-    def turn(self, now):
+    def tick(self, now):
         ending = [event for event in self.events if now >= self.made.give_up_at(event, now)]
         first = [self._ask(event, now) for event in ending]
         rest = [self._ask(event, now) for event in self.made.sort_by_urgency(self.events - set(ending), now)]
@@ -195,12 +193,12 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_what_moves_is_what_would_move_if_all_were_asked(seed, monkeypatch):
-    """At each turn of a random day, a copy of module and events is asked the old way."""
-    monkeypatch.setattr(pending_queues, "RESORT_MS", -1.0)
-    monkeypatch.setattr(pending_queues, "RESORT_MS_EACH", 0.0)
+    """At each tick of a random run, a copy of router and events is asked for all of them."""
+    monkeypatch.setattr(queue_group, "RESORT_INTERVAL_MS", -1.0)
+    monkeypatch.setattr(queue_group, "RESORT_INTERVAL_PER_ENTRY_MS", 0.0)
     monkeypatch.setattr(router, "SHUN_MS", 0.0)  # the end of a shun wakes nobody; it never did
     rng = random.Random(seed)
-    made = module(
+    made = make_router(
         4,
         rate=rng.choice([0.0, 20.0, 60.0]),
         endpoints=3,
@@ -240,7 +238,7 @@
             event.handle, tickets = tickets, tickets + 1
             held[event] = True
             waiting.add(event, now)
-        expected = Naive(*copy.deepcopy((made, list(held)))).turn(now) if rng.random() < 0.4 else None
+        expected = Naive(*copy.deepcopy((made, list(held)))).tick(now) if rng.random() < 0.4 else None
         moved = waiting.tick(now)
         # A send elsewhere can let a destination off its part of scarce slots: that is seen at the next
         # outcome, as ever.
@@ -261,18 +259,16 @@
                 out.append((now + rng.uniform(5.0, 60.0), event, outcome))
             else:
                 waiting.remove(event)
-    assert (
-        same > 150
-        and compared > 5
-        and len(waiting) == len(held)
-        and all(math.isfinite(entry[0]) for entry in waiting.ends.values())
-    )
+    assert same > 150 and compared > 5 and len(waiting) == len(held)
+    timers = waiting.event_timers
+    moments = {timer: at for at, _, timer in timers.heap}
+    assert all(math.isfinite(moments[timer]) for timer in timers.deadlines.values())
 
 
 def test_nothing_is_kept_of_events_that_have_left():
-    """A long max age and many outcomes: what stands in the heaps is in proportion to what waits."""
+    """A long max age and many outcomes: the size of the heaps is in proportion to what waits."""
     streams = [stream._replace(max_age_ms=10.0**6) for stream in STREAMS]
-    made = module(3, rate=0.0, max_calls_in_flight=4, stream_types=streams)
+    made = make_router(3, rate=0.0, max_calls_in_flight=4, stream_types=streams)
     waiting, now, out = PendingQueues(made), 0.0, []
     for number in range(4000):
         now += 2.0
@@ -283,11 +279,12 @@
             waiting.remove(event)
         out = [event for event, answer in waiting.tick(now) if isinstance(answer, Send)]
     assert len(waiting) < 10
-    assert len(waiting.timed) < 200 and len(waiting.sleeping) < 60 and len(waiting.ends) == len(waiting)
+    assert len(waiting.event_timers.heap) < 200 and len(waiting.group_timers.heap) < 60
+    assert len(waiting.event_timers.deadlines) == len(waiting)
 
 
 def test_those_behind_an_event_that_joins_no_call_join_it_all_the_same():
-    made = module(
+    made = make_router(
         rate=4.0,
         endpoints=1,
         batch_size_by_kind=[5],
@@ -302,11 +299,8 @@
 
 
 def test_an_event_asked_out_of_order_that_comes_back_moves_once():
-    """quay-three calm+brink.
-
-    It stood in its group by two rows, was handed back by both, and the turn broke off there.
-    """
-    made = module(
+    """It had two entries in its group and was rejected by both, which broke off the tick."""
+    made = make_router(
         2,
         rate=4.0,
         endpoints=1,
@@ -325,4 +319,6 @@
     made.capacity = 1
     moved = [event for event, _ in waiting.tick(60.0)]
     assert len(moved) == len(set(moved)) == 2 and len(waiting) == 1
-    assert len(waiting.row_of) == 1 and sum(group.waiting for group in waiting.groups.values()) == 1
+    groups = waiting.groups.values()
+    assert sum(group.is_current(entry) for group in groups for entry in group.entries) == 1
+    assert sum(len(group) for group in groups) == 1
