--- a/swiftthread/service/composition.py
+++ b/swiftthread/service/composition.py
@@ -1,8 +1,9 @@
 """Builds the parts of a node, each from those that it needs."""
 
-from typing import Any
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
-from anyio.abc import TaskGroup
 from loguru import logger
 
 from swiftthread.client.discovery_client import DiscoveryClient
@@ -14,19 +15,29 @@
 from swiftthread.network.connection_pool import ConnectionPool
 from swiftthread.routing.router import Router
 from swiftthread.server.http_server import HttpServer
-from swiftthread.service import limits as timeouts
 from swiftthread.service.admission import AdmissionController
 from swiftthread.service.clocks import monotonic_ms, unix_ms
 from swiftthread.service.delivery import EventDelivery
-from swiftthread.service.limits import Limits
+from swiftthread.service.limits import (
+    CLIENT_IDLE_TIMEOUT_MS,
+    FIRST_REQUEST_TIMEOUT_MS,
+    NOTIFICATION_RETRY_PAUSE_MS,
+    PLATFORM_RESPONSE_TIMEOUT_MS,
+    REQUEST_TIMEOUT_MS,
+    WATCH_QUIET_MS,
+    Limits,
+)
 from swiftthread.service.node import Node
 from swiftthread.service.scheduler import Scheduler
 from swiftthread.service.submissions import SubmissionHandler
 from swiftthread.storage.write_ahead_log import WriteAheadLog
 
+if TYPE_CHECKING:
+    from anyio.abc import TaskGroup
+
 
-def build_node(config: NodeConfig, limits: Limits, log: WriteAheadLog, tasks: TaskGroup) -> Node:
-    """Build a node that is not started yet and knows the configuration's endpoint list.
+class NodeBuilder:
+    """Builds one node that is not started yet and knows the configuration's endpoint list.
 
     Args:
         config: What the node is told at start.
@@ -34,95 +45,125 @@
         log: Its open log, which outlives the node.
         tasks: Where its tasks run.
     """
-    settings = config.settings
-    names = config.names
-    router = Router(settings, config.seed)
-    scheduler = Scheduler(router, monotonic_ms, settings.tick_ms)
-    admission = AdmissionController(settings.tick_ms)
-    buffers = BufferPool()
-    connections = ConnectionPool(monotonic_ms, limits.max_idle_ms, limits.max_idle_connections)
-    discovery = DiscoveryClient(
-        address=config.discovery,
-        buffers=buffers,
-        kind_numbers=names.kind_numbers,
-        zone_numbers=names.zone_numbers,
-        quiet_ms=timeouts.WATCH_QUIET_MS,
-        connect_timeout_ms=timeouts.PLATFORM_RESPONSE_TIMEOUT_MS,
-    )
-    endpoint_client = EndpointClient(
-        tasks=tasks,
-        connections=connections,
-        buffers=buffers,
-        clock=monotonic_ms,
-        wall_clock=unix_ms,
-        addresses=discovery.addresses,
-        connect_timeout_ms=limits.connect_timeout_ms,
-        report_fields=config.report_fields,
-        send_deadline=router.send_deadline,
-    )
-    notifier = ResultNotifier(
-        address=config.discovery,
-        buffers=buffers,
-        response_timeout_ms=timeouts.PLATFORM_RESPONSE_TIMEOUT_MS,
-        retry_pause_ms=timeouts.NOTIFICATION_RETRY_PAUSE_MS,
-    )
-    delivery = EventDelivery(
-        router=router,
-        scheduler=scheduler,
-        log=log,
-        endpoint_client=endpoint_client,
-        notifier=notifier,
-        stream_type_numbers=names.stream_type_numbers,
-        tenant_numbers=names.tenant_numbers,
-        clock=monotonic_ms,
-        wall_clock=unix_ms,
-        tasks=tasks,
-    )
-    submissions = SubmissionHandler(
-        settings=settings,
-        router=router,
-        log=log,
-        delivery=delivery,
-        stream_type_numbers=names.stream_type_numbers,
-        max_pending_bytes=limits.max_pending_bytes,
-        clock=monotonic_ms,
-        wall_clock=unix_ms,
-    )
-    server = HttpServer(
-        admit=submissions.admit,
-        stream_types=names.stream_type_numbers,
-        buffers=buffers,
-        limits=limits,
-        wall_clock=unix_ms,
-        first_request_ms=timeouts.FIRST_REQUEST_TIMEOUT_MS,
-        request_ms=timeouts.REQUEST_TIMEOUT_MS,
-        idle_ms=timeouts.CLIENT_IDLE_TIMEOUT_MS,
-        admission=admission,
-        request_tick=scheduler.request_tick,
-    )
-    if config.known_list:
-        _apply_known_list(router, discovery, config.known_list)
-    return Node(
-        router=router,
-        scheduler=scheduler,
-        admission=admission,
-        log=log,
-        discovery=discovery,
-        connections=connections,
-        endpoint_client=endpoint_client,
-        notifier=notifier,
-        delivery=delivery,
-        submissions=submissions,
-        server=server,
-        clock=monotonic_ms,
-        tasks=tasks,
-    )
-
-
-def _apply_known_list(router: Router, discovery: DiscoveryClient, known_list: dict[str, Any]) -> None:
-    """Start with the configuration's endpoint list, until the watch tells a newer one."""
-    try:
-        entries, is_complete = discovery.parse_list(known_list)
-        router.apply_endpoint_list(entries, is_complete, monotonic_ms())
-    except UNREADABLE as error:
-        logger.warning("the configuration's known list cannot be read ({}); the watch will tell", error)
+
+    def __init__(self, config: NodeConfig, limits: Limits, log: WriteAheadLog, tasks: TaskGroup) -> None:
+        self._config = config
+        self._limits = limits
+        self._log = log
+        self._tasks = tasks
+        self._buffers = BufferPool()
+        self._router = Router(config.settings, config.seed)
+        self._scheduler = Scheduler(self._router, monotonic_ms, config.settings.tick_ms)
+        self._admission = AdmissionController(config.settings.tick_ms)
+
+    def build(self) -> Node:
+        """Build the node."""
+        discovery = self._build_discovery()
+        connections = ConnectionPool(
+            monotonic_ms, self._limits.max_idle_ms, self._limits.max_idle_connections
+        )
+        endpoint_client = self._build_endpoint_client(connections, discovery)
+        notifier = self._build_notifier()
+        delivery = self._build_delivery(endpoint_client, notifier)
+        submissions = self._build_submissions(delivery)
+        server = self._build_server(submissions)
+        self._apply_known_list(discovery)
+        return Node(
+            router=self._router,
+            scheduler=self._scheduler,
+            admission=self._admission,
+            log=self._log,
+            discovery=discovery,
+            connections=connections,
+            endpoint_client=endpoint_client,
+            notifier=notifier,
+            delivery=delivery,
+            submissions=submissions,
+            server=server,
+            clock=monotonic_ms,
+            tasks=self._tasks,
+        )
+
+    def _build_discovery(self) -> DiscoveryClient:
+        return DiscoveryClient(
+            address=self._config.discovery,
+            buffers=self._buffers,
+            kind_numbers=self._config.names.kind_numbers,
+            zone_numbers=self._config.names.zone_numbers,
+            quiet_ms=WATCH_QUIET_MS,
+            connect_timeout_ms=PLATFORM_RESPONSE_TIMEOUT_MS,
+        )
+
+    def _build_endpoint_client(
+        self, connections: ConnectionPool, discovery: DiscoveryClient
+    ) -> EndpointClient:
+        return EndpointClient(
+            tasks=self._tasks,
+            connections=connections,
+            buffers=self._buffers,
+            clock=monotonic_ms,
+            wall_clock=unix_ms,
+            addresses=discovery.addresses,
+            connect_timeout_ms=self._limits.connect_timeout_ms,
+            report_fields=self._config.report_fields,
+            send_deadline=self._router.send_deadline,
+        )
+
+    def _build_notifier(self) -> ResultNotifier:
+        return ResultNotifier(
+            address=self._config.discovery,
+            buffers=self._buffers,
+            response_timeout_ms=PLATFORM_RESPONSE_TIMEOUT_MS,
+            retry_pause_ms=NOTIFICATION_RETRY_PAUSE_MS,
+        )
+
+    def _build_delivery(self, endpoint_client: EndpointClient, notifier: ResultNotifier) -> EventDelivery:
+        return EventDelivery(
+            router=self._router,
+            scheduler=self._scheduler,
+            log=self._log,
+            endpoint_client=endpoint_client,
+            notifier=notifier,
+            stream_type_numbers=self._config.names.stream_type_numbers,
+            tenant_numbers=self._config.names.tenant_numbers,
+            clock=monotonic_ms,
+            wall_clock=unix_ms,
+            tasks=self._tasks,
+        )
+
+    def _build_submissions(self, delivery: EventDelivery) -> SubmissionHandler:
+        return SubmissionHandler(
+            settings=self._config.settings,
+            router=self._router,
+            log=self._log,
+            delivery=delivery,
+            stream_type_numbers=self._config.names.stream_type_numbers,
+            max_pending_bytes=self._limits.max_pending_bytes,
+            clock=monotonic_ms,
+            wall_clock=unix_ms,
+        )
+
+    def _build_server(self, submissions: SubmissionHandler) -> HttpServer:
+        return HttpServer(
+            admit=submissions.admit,
+            stream_types=self._config.names.stream_type_numbers,
+            buffers=self._buffers,
+            limits=self._limits,
+            wall_clock=unix_ms,
+            first_request_ms=FIRST_REQUEST_TIMEOUT_MS,
+            request_ms=REQUEST_TIMEOUT_MS,
+            idle_ms=CLIENT_IDLE_TIMEOUT_MS,
+            admission=self._admission,
+            request_tick=self._scheduler.request_tick,
+        )
+
+    def _apply_known_list(self, discovery: DiscoveryClient) -> None:
+        """Start with the configuration's endpoint list, until the watch tells a newer one."""
+        known_list = self._config.known_list
+        if not known_list:
+            return
+        try:
+            entries, is_complete = discovery.parse_list(known_list)
+            self._router.apply_endpoint_list(entries, is_complete, monotonic_ms())
+        except UNREADABLE as error:
+            logger.warning("the configuration's known list cannot be read ({}); the watch will tell", error)
--- a/swiftthread/service/delivery.py
+++ b/swiftthread/service/delivery.py
@@ -1,7 +1,10 @@
 """The life of an admitted event: attempts, final outcome, notification."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 import anyio
-from anyio.abc import TaskGroup
 from loguru import logger
 
 from swiftthread.client.endpoint_client import EndpointClient, SendResult
@@ -15,6 +18,9 @@
 from swiftthread.storage.pending_event import PendingEvent
 from swiftthread.storage.write_ahead_log import WriteAheadLog
 
+if TYPE_CHECKING:
+    from anyio.abc import TaskGroup
+
 # ms before a log that took nothing is tried again; a latency objective has room for several.
 LOG_RETRY_PAUSE_MS = 100.0
 
--- a/swiftthread/service/node.py
+++ b/swiftthread/service/node.py
@@ -1,9 +1,11 @@
 """One delivery node: what runs beside the deliveries of single events."""
 
+from __future__ import annotations
+
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import anyio
-from anyio.abc import TaskGroup
 
 from swiftthread.client.discovery_client import DiscoveryClient
 from swiftthread.client.endpoint_client import EndpointClient
@@ -18,6 +20,9 @@
 from swiftthread.service.submissions import SubmissionHandler
 from swiftthread.storage.write_ahead_log import WriteAheadLog
 
+if TYPE_CHECKING:
+    from anyio.abc import TaskGroup
+
 
 @dataclass(kw_only=True)
 class Node:
--- a/swiftthread/service/startup.py
+++ b/swiftthread/service/startup.py
@@ -10,7 +10,7 @@
 from swiftthread.configuration.node_config import NodeConfig
 from swiftthread.network.connection import open_listener
 from swiftthread.service.clocks import unix_ms
-from swiftthread.service.composition import build_node
+from swiftthread.service.composition import NodeBuilder
 from swiftthread.service.limits import Limits
 from swiftthread.service.reload import reload_config
 from swiftthread.service.shutdown import begin_shutdown
@@ -44,7 +44,7 @@
             logger.warning(warning)
         _report_damage(log)
         async with anyio.create_task_group() as tasks:
-            node = build_node(config, limits, log, tasks)
+            node = NodeBuilder(config, limits, log, tasks).build()
             node.start()
             listener = open_listener(config.listen, limits.backlog)
             with contextlib.ExitStack() as resources:
