--- a/tests/service/test_pending_queues.py
+++ b/tests/service/test_pending_queues.py
@@ -3,10 +3,12 @@
 import copy
 import math
 import random
+from itertools import count
+from typing import NamedTuple
 
 import pytest
 
-from swiftthread.routing import router
+from swiftthread.routing import router as router_module
 from swiftthread.routing.messages import Defer, Reject, Send, SendOutcome
 from swiftthread.routing.router import Router
 from swiftthread.routing.settings import Effect, Settings, StreamType
@@ -30,7 +32,7 @@
 
 
 def make_router(destinations=1, rate=50.0, endpoints=2, **more):
-    made = Router(
+    router = Router(
         Settings(
             **(
                 {
@@ -47,42 +49,43 @@
         ),
         3,
     )
-    made.apply_endpoint_list(
+    router.apply_endpoint_list(
         [(f"s{d}-{n}", d, n % 2, 0, rate, True) for d in range(destinations) for n in range(endpoints)],
         True,
         0.0,
     )
-    return made
+    return router
 
 
-class Counted:
+class CountingRouter:
     """A router whose calls of `decide` are counted."""
 
-    def __init__(self, made):
-        self.made, self.asked = made, 0
+    def __init__(self, router):
+        self.router = router
+        self.asked = 0
 
     def __getattr__(self, name):
-        return getattr(self.made, name)
+        return getattr(self.router, name)
 
     def decide(self, event, now):
         self.asked += 1
-        return self.made.decide(event, now)
+        return self.router.decide(event, now)
 
 
-def served(made, held, seconds=5.0, latency=20.0, destinations=1):
+def play_acks(router, held, seconds=5.0, latency=20.0, destinations=1):
     """Hold so many events and serve them for a while: (calls of `decide`, events that moved)."""
-    counted = Counted(made)
-    waiting, now, moved, out = PendingQueues(counted), 0.0, 0, []
+    counted = CountingRouter(router)
+    queues, now, moved, out = PendingQueues(counted), 0.0, 0, []
     for number in range(held):
-        waiting.add(made.add_event(0.0, number % 3, number % destinations, 10**6, subject=0), 0.0)
+        queues.add(router.add_event(0.0, number % 3, number % destinations, 10**6, subject=0), 0.0)
     while now < 1000.0 * seconds:
         now += 5.0
         while out and out[0][0] <= now:
             _, event = out.pop(0)
-            made.record_outcome(event, SendOutcome.ACKED, now, latency, is_finished=True)
-            waiting.wake(event.destination)
-            waiting.remove(event)
-        for event, answer in waiting.tick(now):
+            router.record_outcome(event, SendOutcome.ACKED, now, latency, is_finished=True)
+            queues.wake(event.destination)
+            queues.remove(event)
+        for event, answer in queues.tick(now):
             moved += 1
             if isinstance(answer, Send):
                 out.append((now + latency, event))
@@ -94,7 +97,7 @@
     each = []
     for held in (100, 1000, 10_000):
         streams = [stream._replace(max_age_ms=10.0**6) for stream in STREAMS]
-        asked, moved = served(
+        asked, moved = play_acks(
             make_router(destinations, rate, stream_types=streams, max_calls_in_flight=16),
             held,
             destinations=destinations,
@@ -105,162 +108,198 @@
 
 
 def test_a_thousand_that_wait_for_a_retry_after_are_asked_once_it_ends():
-    made = make_router(rate=100.0, max_calls_in_flight=1000)
-    counted = Counted(made)
-    waiting = PendingQueues(counted)
-    first = made.add_event(0.0, 0, 0, 60_000.0)
-    waiting.add(first, 0.0)
-    assert isinstance(waiting.tick(0.0)[0][1], Send)
-    made.record_outcome(first, SendOutcome.RATE_LIMITED, 5.0, 5.0, retry_after_ms=1500.0)
-    waiting.wake(first.destination)
+    router = make_router(rate=100.0, max_calls_in_flight=1000)
+    counted = CountingRouter(router)
+    queues = PendingQueues(counted)
+    first = router.add_event(0.0, 0, 0, 60_000.0)
+    queues.add(first, 0.0)
+    assert isinstance(queues.tick(0.0)[0][1], Send)
+    router.record_outcome(first, SendOutcome.RATE_LIMITED, 5.0, 5.0, retry_after_ms=1500.0)
+    queues.wake(first.destination)
     for _ in range(10_000):
-        waiting.add(made.add_event(5.0, 0, 0, 60_000.0), 5.0)
+        queues.add(router.add_event(5.0, 0, 0, 60_000.0), 5.0)
     counted.asked = 0
     for now in range(10, 1500, 5):
-        assert waiting.tick(float(now)) == []
+        assert queues.tick(float(now)) == []
     assert counted.asked <= 2
-    moved = [at for now in range(1500, 4000, 5) for at in [now] * len(waiting.tick(float(now)))]
+    moved = [at for now in range(1500, 4000, 5) for at in [now] * len(queues.tick(float(now)))]
     assert moved and moved[0] >= 1505 and counted.asked < 4 * len(moved) + 10
 
 
 def test_deadlines_are_kept_for_every_event_in_whatever_it_waits():
-    made = make_router(rate=1.0, max_calls_in_flight=1)
-    waiting, ended, left = PendingQueues(made), {}, {}
+    router = make_router(rate=1.0, max_calls_in_flight=1)
+    queues, ended, left = PendingQueues(router), {}, {}
     for number in range(40):
-        event = made.add_event(0.0, number % 4, 0, 500.0 + 10.0 * number, subject=number % 3 + 1)
+        event = router.add_event(0.0, number % 4, 0, 500.0 + 10.0 * number, subject=number % 3 + 1)
         left[event] = event.expires_at
-        waiting.add(event, 0.0)
+        queues.add(event, 0.0)
     for now in range(0, 1000, 5):
-        for event, answer in waiting.tick(float(now)):
+        for event, answer in queues.tick(float(now)):
             if not isinstance(answer, Send):
                 ended[event] = float(now)
-                waiting.remove(event)
-    assert len(ended) >= 37 and len(waiting) == 0
+                queues.remove(event)
+    assert len(ended) >= 37 and len(queues) == 0
     assert all(left[event] - 40.0 <= at <= left[event] for event, at in ended.items())
-    assert waiting.event_timers.deadlines == {}
-    assert waiting.groups == {} and waiting.groups_by_destination == {}
+    assert queues.event_timers.deadlines == {}
+    assert queues.groups == {} and queues.groups_by_destination == {}
 
 
 def test_an_ordering_key_goes_one_at_a_time_in_order():
-    made = make_router(rate=0.0, max_calls_in_flight=10)
-    waiting, lines = PendingQueues(made), []
-    events = [made.add_event(0.0, 3, 0, 7000.0, subject=7) for _ in range(5)]
+    router = make_router(rate=0.0, max_calls_in_flight=10)
+    queues, lines = PendingQueues(router), []
+    events = [router.add_event(0.0, 3, 0, 7000.0, subject=7) for _ in range(5)]
     for event in reversed(events):
-        waiting.add(event, 0.0)
+        queues.add(event, 0.0)
     for now in range(0, 200, 5):
-        for event, _ in waiting.tick(float(now)):
+        for event, _ in queues.tick(float(now)):
             lines.append(events.index(event))
-            made.record_outcome(event, SendOutcome.ACKED, now + 1.0, 1.0, is_finished=True)
-            waiting.wake(event.destination)
-            waiting.remove(event)
+            router.record_outcome(event, SendOutcome.ACKED, now + 1.0, 1.0, is_finished=True)
+            queues.wake(event.destination)
+            queues.remove(event)
     assert lines == [0, 1, 2, 3, 4]
 
 
 def test_over_capacity_the_least_urgent_are_rejected():
-    made = make_router(2, rate=1.0, max_calls_in_flight=4, max_pending_events=50)
-    waiting = PendingQueues(made)
-    made.add_event(0.0, 0, 1, 6000.0)  # another queue, a short one
-    events = [made.add_event(0.0, number % 2, 0, 3000.0 + 50.0 * number) for number in range(60)]
-    span = made.ranking_horizon_ms(events[0].destination, 0.0)
-    order = sorted(events, key=lambda event: made.urgency_rank(event, span, 0.0))
+    router = make_router(2, rate=1.0, max_calls_in_flight=4, max_pending_events=50)
+    queues = PendingQueues(router)
+    router.add_event(0.0, 0, 1, 6000.0)  # another queue, a short one
+    events = [router.add_event(0.0, number % 2, 0, 3000.0 + 50.0 * number) for number in range(60)]
+    span = router.ranking_horizon_ms(events[0].destination, 0.0)
+    order = sorted(events, key=lambda event: router.urgency_rank(event, span, 0.0))
     for event in events:
-        waiting.add(event, 0.0)
-    gone = {event for event, answer in waiting.tick(0.0) if isinstance(answer, Reject)}
-    assert gone == set(order[-15:]) and not made.is_over_capacity()
+        queues.add(event, 0.0)
+    gone = {event for event, answer in queues.tick(0.0) if isinstance(answer, Reject)}
+    assert gone == set(order[-15:]) and not router.is_over_capacity()
 
 
-class Naive:
-    """Asks for every event in each tick: those at their deadline first, the rest in the router's order."""
+class QueuedEvent(NamedTuple):
+    """What became of one event in a tick, comparable between a router and its copy."""
 
-    def __init__(self, made, events):
-        self.made, self.events = made, set(events)
+    ticket: int
+    answer_type: type
+    endpoint_id: str | None
 
-    def tick(self, now):
-        ending = [event for event in self.events if now >= self.made.give_up_at(event, now)]
-        first = [self._ask(event, now) for event in ending]
-        rest = [self._ask(event, now) for event in self.made.sort_by_urgency(self.events - set(ending), now)]
-        return [row for row in first + rest if row]
-
-    def _ask(self, event, now):
-        answer = self.made.decide(event, now)
-        if not isinstance(answer, Defer):
-            return (
-                event.handle,
-                type(answer),
-                answer.endpoint.endpoint_id if isinstance(answer, Send) else None,
-            )
+    @classmethod
+    def of(cls, event, answer):
+        endpoint_id = answer.endpoint.endpoint_id if isinstance(answer, Send) else None
+        return cls(event.handle, type(answer), endpoint_id)
 
 
-@pytest.mark.parametrize("seed", range(8))
-def test_what_moves_is_what_would_move_if_all_were_asked(seed, monkeypatch):
-    """At each tick of a random run, a copy of router and events is asked for all of them."""
-    monkeypatch.setattr(queue_group, "RESORT_INTERVAL_MS", -1.0)
-    monkeypatch.setattr(queue_group, "RESORT_INTERVAL_PER_ENTRY_MS", 0.0)
-    monkeypatch.setattr(router, "SHUN_MS", 0.0)  # the end of a shun wakes nobody; it never did
-    rng = random.Random(seed)
-    made = make_router(
-        4,
-        rate=rng.choice([0.0, 20.0, 60.0]),
-        endpoints=3,
-        max_calls_in_flight=rng.choice([3, 8, 40]),
-        ordering_rest_ms=100.0,
-        warm_up_ms=60_000.0,
-    )
-    waiting, held, out, now, tickets, same, compared = PendingQueues(made), {}, [], 0.0, 0, 0, 0
-    while now < 5000.0:
-        now += 5.0
-        for at, event, outcome in [row for row in out if row[0] <= now]:
-            out.remove((at, event, outcome))
-            over = outcome == SendOutcome.ACKED
-            answer = made.record_outcome(
+class NaiveQueue:
+    """Asks for every event in each tick: those at their deadline first, the rest in the router's order."""
+
+    def __init__(self, router, events):
+        self.router = router
+        self.events = set(events)
+
+    def tick(self, now):
+        ending = [event for event in self.events if now >= self.router.give_up_at(event, now)]
+        decided = self._ask(ending, now)
+        others = self.router.sort_by_urgency(self.events - set(ending), now)
+        return decided + self._ask(others, now)
+
+    def _ask(self, events, now):
+        answers = [(event, self.router.decide(event, now)) for event in events]
+        return [QueuedEvent.of(event, answer) for event, answer in answers if not isinstance(answer, Defer)]
+
+
+class RandomRun:
+    """Random events and outcomes; some ticks are compared with asking a copy of the router for all events."""
+
+    def __init__(self, seed):
+        self.random = random.Random(seed)
+        self.router = make_router(
+            4,
+            rate=self.random.choice([0.0, 20.0, 60.0]),
+            endpoints=3,
+            max_calls_in_flight=self.random.choice([3, 8, 40]),
+            ordering_rest_ms=100.0,
+            warm_up_ms=60_000.0,
+        )
+        self.queues = PendingQueues(self.router)
+        self.pending = {}  # ordered set of the events in the queues
+        self.in_flight = []  # (moment of the outcome, event, outcome)
+        self.next_ticket = count()
+        self.decided_count = self.compared_count = 0
+
+    def play(self):
+        now = 0.0
+        while now < 5000.0:
+            now += 5.0
+            self._record_outcomes(now)
+            if now < 4000.0 and self.random.random() < 0.5:
+                self._submit(now)
+            self._tick(now)
+
+    def _record_outcomes(self, now):
+        for arrival in [arrival for arrival in self.in_flight if arrival[0] <= now]:
+            self.in_flight.remove(arrival)
+            _, event, outcome = arrival
+            is_told_to_wait = outcome == SendOutcome.RATE_LIMITED and self.random.random() < 0.5
+            answer = self.router.record_outcome(
                 event,
                 outcome,
                 now,
                 20.0,
-                retry_after_ms=300.0 if outcome == SendOutcome.RATE_LIMITED and rng.random() < 0.5 else 0.0,
-                is_finished=over,
+                retry_after_ms=300.0 if is_told_to_wait else 0.0,
+                is_finished=outcome == SendOutcome.ACKED,
             )
-            waiting.wake(event.destination)
+            self.queues.wake(event.destination)
             if isinstance(answer, Defer):
-                held[event] = True
-                waiting.add(event, now)
+                self._add(event, now)
             else:
-                waiting.remove(event)
-        if now < 4000.0 and rng.random() < 0.5:
-            stream = rng.randrange(4)
-            event = made.add_event(
-                now,
-                stream,
-                rng.randrange(4),
-                rng.uniform(800.0, STREAMS[stream].max_age_ms),
-                subject=rng.randrange(1, 9),
-            )
-            event.handle, tickets = tickets, tickets + 1
-            held[event] = True
-            waiting.add(event, now)
-        expected = Naive(*copy.deepcopy((made, list(held)))).tick(now) if rng.random() < 0.4 else None
-        moved = waiting.tick(now)
+                self.queues.remove(event)
+
+    def _submit(self, now):
+        stream_type_number = self.random.randrange(4)
+        event = self.router.add_event(
+            now,
+            stream_type_number,
+            self.random.randrange(4),
+            self.random.uniform(800.0, STREAMS[stream_type_number].max_age_ms),
+            subject=self.random.randrange(1, 9),
+        )
+        event.handle = next(self.next_ticket)
+        self._add(event, now)
+
+    def _add(self, event, now):
+        self.pending[event] = True
+        self.queues.add(event, now)
+
+    def _tick(self, now):
+        expected = None
+        if self.random.random() < 0.4:
+            expected = NaiveQueue(*copy.deepcopy((self.router, list(self.pending)))).tick(now)
+        decisions = self.queues.tick(now)
+        decided = [QueuedEvent.of(event, answer) for event, answer in decisions]
+        self.decided_count += len(decided)
         # A send elsewhere can let a destination off its part of scarce slots: that is seen at the next
         # outcome, as ever.
-        judged = expected is not None and not made.slots_are_scarce() and not waiting.waiting_for_slot
-        seen = [
-            (event.handle, type(answer), answer.endpoint.endpoint_id if isinstance(answer, Send) else None)
-            for event, answer in moved
-        ]
-        assert not judged or sorted(seen, key=str) == sorted(expected, key=str), (now, seen, expected)
-        compared += len(expected) if judged else 0
-        same += len(seen)
-        for event, answer in moved:
-            del held[event]
+        if expected is not None and not self.router.slots_are_scarce() and not self.queues.waiting_for_slot:
+            assert sorted(decided, key=str) == sorted(expected, key=str), (now, decided, expected)
+            self.compared_count += len(expected)
+        for event, answer in decisions:
+            del self.pending[event]
             if isinstance(answer, Send):
-                outcome = rng.choices(
-                    [SendOutcome.ACKED, SendOutcome.RATE_LIMITED, SendOutcome.TIMED_OUT], [8, 1, 1]
-                )[0]
-                out.append((now + rng.uniform(5.0, 60.0), event, outcome))
+                self._put_in_flight(event, now)
             else:
-                waiting.remove(event)
-    assert same > 150 and compared > 5 and len(waiting) == len(held)
-    timers = waiting.event_timers
+                self.queues.remove(event)
+
+    def _put_in_flight(self, event, now):
+        outcomes = [SendOutcome.ACKED, SendOutcome.RATE_LIMITED, SendOutcome.TIMED_OUT]
+        [outcome] = self.random.choices(outcomes, [8, 1, 1])
+        self.in_flight.append((now + self.random.uniform(5.0, 60.0), event, outcome))
+
+
+@pytest.mark.parametrize("seed", range(8))
+def test_what_is_decided_is_what_would_be_if_all_were_asked(seed, monkeypatch):
+    monkeypatch.setattr(queue_group, "RESORT_INTERVAL_MS", -1.0)
+    monkeypatch.setattr(queue_group, "RESORT_INTERVAL_PER_ENTRY_MS", 0.0)
+    monkeypatch.setattr(router_module, "SHUN_MS", 0.0)  # the end of a shun wakes nobody; it never did
+    run = RandomRun(seed)
+    run.play()
+    assert run.decided_count > 150 and run.compared_count > 5 and len(run.queues) == len(run.pending)
+    timers = run.queues.event_timers
     moments = {timer: at for at, _, timer in timers.heap}
     assert all(math.isfinite(moments[timer]) for timer in timers.deadlines.values())
 
@@ -268,57 +307,57 @@
 def test_nothing_is_kept_of_events_that_have_left():
     """A long max age and many outcomes: the size of the heaps is in proportion to what waits."""
     streams = [stream._replace(max_age_ms=10.0**6) for stream in STREAMS]
-    made = make_router(3, rate=0.0, max_calls_in_flight=4, stream_types=streams)
-    waiting, now, out = PendingQueues(made), 0.0, []
+    router = make_router(3, rate=0.0, max_calls_in_flight=4, stream_types=streams)
+    queues, now, out = PendingQueues(router), 0.0, []
     for number in range(4000):
         now += 2.0
-        waiting.add(made.add_event(now, number % 3, number % 3, 10.0**6), now)
+        queues.add(router.add_event(now, number % 3, number % 3, 10.0**6), now)
         for event in out:
-            made.record_outcome(event, SendOutcome.ACKED, now, 2.0, is_finished=True)
-            waiting.wake(event.destination)
-            waiting.remove(event)
-        out = [event for event, answer in waiting.tick(now) if isinstance(answer, Send)]
-    assert len(waiting) < 10
-    assert len(waiting.event_timers.heap) < 200 and len(waiting.group_timers.heap) < 60
-    assert len(waiting.event_timers.deadlines) == len(waiting)
+            router.record_outcome(event, SendOutcome.ACKED, now, 2.0, is_finished=True)
+            queues.wake(event.destination)
+            queues.remove(event)
+        out = [event for event, answer in queues.tick(now) if isinstance(answer, Send)]
+    assert len(queues) < 10
+    assert len(queues.event_timers.heap) < 200 and len(queues.group_timers.heap) < 60
+    assert len(queues.event_timers.deadlines) == len(queues)
 
 
 def test_those_behind_an_event_that_joins_no_call_join_it_all_the_same():
-    made = make_router(
+    router = make_router(
         rate=4.0,
         endpoints=1,
         batch_size_by_kind=[5],
         stream_types=[StreamType(1500.0, 10000.0, effect=Effect.IDEMPOTENT)],
     )
-    waiting = PendingQueues(made)
-    first, short, last = events = [made.add_event(0.0, 0, 0, left) for left in (9000.0, 500.0, 10000.0)]
-    assert sorted(events, key=lambda event: made.urgency_rank(event, 1000.0, 0.0)) == events
+    queues = PendingQueues(router)
+    first, short, last = events = [router.add_event(0.0, 0, 0, left) for left in (9000.0, 500.0, 10000.0)]
+    assert sorted(events, key=lambda event: router.urgency_rank(event, 1000.0, 0.0)) == events
     for event in events:
-        waiting.add(event, 0.0)
-    assert [event for event, _ in waiting.tick(0.0)] == [first, last] and short in waiting.group_of
+        queues.add(event, 0.0)
+    assert [event for event, _ in queues.tick(0.0)] == [first, last] and short in queues.group_of
 
 
 def test_an_event_asked_out_of_order_that_comes_back_moves_once():
     """It had two entries in its group and was rejected by both, which broke off the tick."""
-    made = make_router(
+    router = make_router(
         2,
         rate=4.0,
         endpoints=1,
         batch_size_by_kind=[5],
         stream_types=[StreamType(1500.0, 10000.0, effect=Effect.IDEMPOTENT)],
     )
-    waiting = PendingQueues(made)
-    made.add_event(0.0, 0, 1, 9000.0)  # another queue, a short one
-    first, short, last = events = [made.add_event(0.0, 0, 0, left) for left in (9000.0, 500.0, 10000.0)]
+    queues = PendingQueues(router)
+    router.add_event(0.0, 0, 1, 9000.0)  # another queue, a short one
+    first, short, last = events = [router.add_event(0.0, 0, 0, left) for left in (9000.0, 500.0, 10000.0)]
     for event in events:
-        waiting.add(event, 0.0)
-    assert [event for event, _ in waiting.tick(0.0)] == [first, last]
+        queues.add(event, 0.0)
+    assert [event for event, _ in queues.tick(0.0)] == [first, last]
     for event in (first, last):
-        made.record_outcome(event, SendOutcome.RATE_LIMITED, 50.0, 50.0)
-        waiting.add(event, 50.0)
-    made.capacity = 1
-    moved = [event for event, _ in waiting.tick(60.0)]
-    assert len(moved) == len(set(moved)) == 2 and len(waiting) == 1
-    groups = waiting.groups.values()
+        router.record_outcome(event, SendOutcome.RATE_LIMITED, 50.0, 50.0)
+        queues.add(event, 50.0)
+    router.capacity = 1
+    moved = [event for event, _ in queues.tick(60.0)]
+    assert len(moved) == len(set(moved)) == 2 and len(queues) == 1
+    groups = queues.groups.values()
     assert sum(group.is_current(entry) for group in groups for entry in group.entries) == 1
     assert sum(len(group) for group in groups) == 1
