--- a/swiftthread/configuration/settings_reader.py
+++ b/swiftthread/configuration/settings_reader.py
@@ -4,7 +4,7 @@
 import math
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeVar
 
 from swiftthread.routing.settings import Effect, Settings, StreamType
 
@@ -15,6 +15,9 @@
 """Each endpoint a group of its own: the cautious reading."""
 
 
+Name = TypeVar("Name", bound=str | None)
+
+
 class MalformedInput(Exception):
     """The input is not what its format allows; the text says what and where."""
 
@@ -150,7 +153,7 @@
     )
 
 
-def _numbers_of(names: Iterable[str] | None) -> dict[str, int]:
+def _numbers_of(names: Iterable[Name] | None) -> dict[Name, int]:
     return {name: number for number, name in enumerate(names or ())}
 
 
