--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -1,10 +1,11 @@
 """Every decision of swiftthread, for one delivery node that sees only its own traffic.
 
-A caller builds one `Dispatcher`, hands in events (`take`) and what it learns (`listed`, `list_failed`,
-`withdrawn`, `probed`), has the events that may be asked for put `in_order`, and makes three calls: `where`
-(a send, later, a decline or a discard), `after` (what an outcome means for the event) and `wait` (when to
-ask again after "later"). `probes`, `closes`, `wants_list`, `next_moment`: once a turn. Plain values:
-plain.py. The design, what was kept and changed: docs/design.md.
+A caller builds one `Router`, hands in events (`add_event`) and what it learns (`apply_endpoint_list`,
+`list_request_failed`, `withdraw`, `record_probe`), puts the events that may be decided in order
+(`sort_by_urgency`), and makes three calls: `decide` (a `Send`, `Defer`, `Reject` or `Abandon`),
+`record_outcome` (what an outcome means for the event) and `next_check` (when to decide again after a
+`Defer`). `endpoints_to_probe`, `endpoints_to_disconnect`, `should_request_list` and `next_wakeup_at` are
+for once a turn. The design, what was kept and changed: docs/design.md.
 """
 
 import hashlib
@@ -18,121 +19,188 @@
 from swiftthread.routing.statistics import RecentCount, SlidingMedian, SmoothedRate
 
 # Constants. Those marked "page" are the design page's, the rest are ours.
-GROW = 0.08  # x first rate each second: clean growth past the level; slow beside a halving
-SEARCH_MS, SEARCH_MOST = 2000.0, 8.0  # ms since a cut for x1 of its growth, and most; 2 to 2,000/s in 20 s
-MOST_RATE = 1.5  # x listed: no node needs more than all of it, and the list may be somewhat low
-CUT = 0.5  # page: a refusal, an error run or risen latency halves the rate
-LEVEL_KEPT = 0.9  # x level: what a refusal leaves of the level that clean seconds lead back to
-CLEAN_MS = 1000.0  # page: a clean second doubles the rate; also the least time between two cuts
-ROUGH_SURE = 0.7  # of a roughly listed rate: it may be up to half too high
-LEAST_RATE = 0.001  # calls per ms, page: an unpaced key's first cut never goes under one a second
-BURST = 0.3  # intervals: little burst tolerance, one call early
-SLACK_MS = 20.0  # ms past its moment in which a slot counts as kept; a few turns of the caller
-RIDER = 0.05  # of an interval: what one more event in a call costs; it is work, not a call
-ALONE_MS = 1000.0  # ms without an ack after which one unanswered or unreached call tells of an outage
-ERROR_RUN = 3  # calls failing in a row, none between: an error run; two can be chance
-WINDOW, RISEN = 24, 2.0  # latencies for a median, at a cv of 1.4; page: risen is over this many times its low
-RISE_MS = 40.0  # ms: a rise by less harms no SLO time; calls that leave together wait for each other
-USUAL_MS = 350.0  # ms: latency assumed before the first was seen
-MOSTLY_BAD = 0.6  # share of failed calls, smoothed, from which a sink counts as failing
-SMOOTH = 0.15  # weight of the newest call in that share; about the last dozen calls
-QUIET_MS, QUIET_CALLS = 700.0, 4.0  # ms, x usual latency: no outcome for both is quiet; over a brief stall
-TRY_MS = 300.0  # ms: least pause before a failing sink is tried; a few round trips
-ALLOW_MS, ALLOW_CALLS, ALLOW_MOST_MS = 1200.0, 8.0, 6000.0  # ms + x usual latency, at most; a long tail's p99
-ALLOW_REST = 0.6  # of the repeat window or the rest of the max age, so that another send fits inside
-USUAL_SPAN_MS = 10000.0  # ms: span of the smoothed rate of acked calls, this node's usual part of a key
-BUSY = 0.33  # of the SLO time (mean by utility): nodes with an event in it share a key's rate
-AT_ONCE = 0.5  # of the time for a connect: one that fails sooner was refused, not unanswered
-CROWDED_MS = 20000.0  # ms for which a refused connect says that the endpoint's table is short of room
-USED, PLACE_MS = 0.2, 50.0  # share of the time from which a connection is kept: in use, or being made anew
-FELL = 0.6  # of the limit held true: a told limit below that is a fall, not noise
-SHUT_MS, REFUSED_RUN = 2100.0, 1  # ms told to wait, or refused in a row for that long: shut; fewer are chance
-SHUN_MS = 5000.0  # ms for which a stream type goes past an endpoint that failed it; some SLO times
-SCARCE = 0.7  # of the slots: from here no destination may take more than half of those out
-PUSHED_PAUSE_MS = 200.0  # ms, mean, before a list is asked for again of a local agent
-ASKED_PAUSE_MS = 1000.0  # the same of a discovery that all nodes share; doubled by each failure
-PAUSE_SPREAD = 0.5  # of that pause, either way: nodes that lost their lists together must not ask together
-CROWDED = 0.92  # of the holding room: from here the longest queues are declined
-MARGIN_MS = 12.0  # ms before a bound at which the event is answered; two turns of the caller
+GROWTH_SHARE_PER_S = 0.08  # x first rate each second: clean growth past the level; slow beside a halving
+UNLISTED_GROWTH_MS, MAX_UNLISTED_GROWTH = (
+    2000.0,
+    8.0,
+)  # ms since a cut for x1 of its growth, and most; 2 to 2,000/s in 20 s
+MAX_LISTED_MULTIPLE = 1.5  # x listed: no node needs more than all of it, and the list may be somewhat low
+CUT_FACTOR = 0.5  # page: a refusal, an error run or risen latency halves the rate
+TARGET_KEPT = 0.9  # x level: what a refusal leaves of the level that clean seconds lead back to
+ADJUSTMENT_MS = 1000.0  # page: a clean second doubles the rate; also the least time between two cuts
+ROUGH_LIST_CONFIDENCE = 0.7  # of a roughly listed rate: it may be up to half too high
+MIN_RATE_PER_MS = 0.001  # calls per ms, page: an unpaced key's first cut never goes under one a second
+BURST_TOLERANCE = 0.3  # intervals: little burst tolerance, one call early
+SLOT_SLACK_MS = 20.0  # ms past its moment in which a slot counts as kept; a few turns of the caller
+SHARED_EVENT_COST = 0.05  # of an interval: what one more event in a call costs; it is work, not a call
+LONE_FAILURE_MS = 1000.0  # ms without an ack after which one unanswered or unreached call tells of an outage
+MAX_CONSECUTIVE_FAILURES = 3  # calls failing in a row, none between: an error run; two can be chance
+LATENCY_SAMPLES, LATENCY_RISE_FACTOR = (
+    24,
+    2.0,
+)  # latencies for a median, at a cv of 1.4; page: risen is over this many times its low
+MIN_LATENCY_RISE_MS = (
+    40.0  # ms: a rise by less harms no SLO time; calls that leave together wait for each other
+)
+INITIAL_LATENCY_MS = 350.0  # ms: latency assumed before the first was seen
+MAX_FAILURE_RATIO = 0.6  # share of failed calls, smoothed, from which a sink counts as failing
+SMOOTHING_WEIGHT = 0.15  # weight of the newest call in that share; about the last dozen calls
+MIN_SILENCE_MS, SILENCE_LATENCIES = (
+    700.0,
+    4.0,
+)  # ms, x usual latency: no outcome for both is quiet; over a brief stall
+MIN_TRIAL_PAUSE_MS = 300.0  # ms: least pause before a failing sink is tried; a few round trips
+BASE_TIMEOUT_MS, TIMEOUT_LATENCIES, MAX_TIMEOUT_MS = (
+    1200.0,
+    8.0,
+    6000.0,
+)  # ms + x usual latency, at most; a long tail's p99
+TIMEOUT_SHARE = 0.6  # of the repeat window or the rest of the max age, so that another send fits inside
+USUAL_RATE_SPAN_MS = 10000.0  # ms: span of the smoothed rate of acked calls, this node's usual part of a key
+BUSY_SPAN_SHARE = 0.33  # of the SLO time (mean by utility): nodes with an event in it share a key's rate
+PROMPT_CONNECT_SHARE = 0.5  # of the time for a connect: one that fails sooner was refused, not unanswered
+FULL_TABLE_MS = 20000.0  # ms for which a refused connect says that the endpoint's table is short of room
+MIN_CONNECTION_USE, MIN_CONNECTION_USE_MS = (
+    0.2,
+    50.0,
+)  # share of the time from which a connection is kept: in use, or being made anew
+LIMIT_FALL_RATIO = 0.6  # of the limit held true: a told limit below that is a fall, not noise
+SHUT_AFTER_MS, MAX_CONSECUTIVE_REJECTIONS = (
+    2100.0,
+    1,
+)  # ms told to wait, or refused in a row for that long: shut; fewer are chance
+STREAM_TYPE_EJECTION_MS = (
+    5000.0  # ms for which a stream type goes past an endpoint that failed it; some SLO times
+)
+SCARCE_SLOTS_SHARE = 0.7  # of the slots: from here no destination may take more than half of those out
+AGENT_BACKOFF_MS = 200.0  # ms, mean, before a list is asked for again of a local agent
+DISCOVERY_BACKOFF_MS = 1000.0  # the same of a discovery that all nodes share; doubled by each failure
+BACKOFF_SPREAD = 0.5  # of that pause, either way: nodes that lost their lists together must not ask together
+CAPACITY_SHARE = 0.92  # of the holding room: from here the longest queues are declined
+MIN_ANSWER_MARGIN_MS = 12.0  # ms before a bound at which the event is answered; two turns of the caller
 
 
 class RateLimiter:
     """One due moment: a destination, or a route where routes are kept apart."""
 
     def __init__(self, listed, nodes, sure, busy, longest):
-        self.due = self.blocked = self.changed = self.cut_at = self.pressed = -math.inf
-        self.named = self.even = self.fair = self.crowd = self.listed = None
-        self.busy, self.sure = busy, sure  # ms in which nodes share the rate; trust in the list
-        self.longest = longest  # ms for which an event may wait here
+        self.next_slot_at = self.retry_after_until = self.rate_changed_at = self.rate_cut_at = (
+            self.demand_at
+        ) = -math.inf
+        self.rate_as_listed = self.busy_share = self.equal_share = self.waiting_share = self.listed_rate = (
+            None
+        )
+        self.busy_span_ms, self.listed_rate_confidence = (
+            busy,
+            sure,
+        )  # ms in which nodes share the rate; trust in the list
+        self.longest_wait_ms = longest  # ms for which an event may wait here
         if listed:
-            self.hold_true(listed, nodes, sure)
-        self.rate = self.level = self.even  # None: unpaced until the first cut
-        self.acks, self.usual_rate = RecentCount(CLEAN_MS), SmoothedRate(USUAL_SPAN_MS)
-        self.latency, self.low = SlidingMedian(WINDOW, USUAL_MS), None
-        self.run, self.left, self.served = 0, 1.0, True  # served: an ack since the last cut
-        self.ride = (None, -math.inf, 0)  # call that others may join this turn
-        self.owed, self.out_since = (
+            self.set_listed_rate(listed, nodes, sure)
+        self.rate = self.target_rate = self.busy_share  # None: unpaced until the first cut
+        self.recent_acks, self.usual_rate = RecentCount(ADJUSTMENT_MS), SmoothedRate(USUAL_RATE_SPAN_MS)
+        self.recent_latency_ms, self.lowest_latency_ms = (
+            SlidingMedian(LATENCY_SAMPLES, INITIAL_LATENCY_MS),
+            None,
+        )
+        self.consecutive_failures, self.spare_share, self.has_acked_since_cut = (
+            0,
+            1.0,
+            True,
+        )  # served: an ack since the last cut
+        self.shared_call = (None, -math.inf, 0)  # call that others may join this turn
+        self.rate_before_outage, self.outage_began_at = (
             0.0,
             -math.inf,
         )  # usual acked calls per ms at its last outage; its beginning
-        self.cold_due = -math.inf  # the next cold send
+        self.next_cold_slot_at = -math.inf  # the next cold send
 
-    def hold_true(self, listed, nodes, sure):
+    def set_listed_rate(self, listed, nodes, sure):
         """Calls per ms; a node's part among all (`fair`), those busy (`even`), those that wait (`crowd`)."""
-        self.listed, self.fair, self.sure = listed, listed / nodes, sure
-        self.even, self.crowd = self.among(self.busy, nodes), self.among(self.longest, nodes)
+        self.listed_rate, self.equal_share, self.listed_rate_confidence = listed, listed / nodes, sure
+        self.busy_share, self.waiting_share = (
+            self.share_among_nodes(self.busy_span_ms, nodes),
+            self.share_among_nodes(self.longest_wait_ms, nodes),
+        )
 
-    def among(self, span, nodes):
+    def share_among_nodes(self, span, nodes):
         """The rate by the nodes that can be expected to have an event here within a span, at the limit."""
-        return self.listed / max(1.0, nodes * -math.expm1(-self.listed * span / nodes))
+        return self.listed_rate / max(1.0, nodes * -math.expm1(-self.listed_rate * span / nodes))
 
     def ready_at(self):
-        return max(self.due - (BURST / self.level if self.rate else 0.0), self.blocked)
+        return max(
+            self.next_slot_at - (BURST_TOLERANCE / self.target_rate if self.rate else 0.0),
+            self.retry_after_until,
+        )
 
     def book(self, now, cost):
         if self.rate:
-            slot = self.due if 0 <= now - self.due <= SLACK_MS else max(now, self.due)
-            self.due = slot + cost / self.rate
+            slot = (
+                self.next_slot_at
+                if 0 <= now - self.next_slot_at <= SLOT_SLACK_MS
+                else max(now, self.next_slot_at)
+            )
+            self.next_slot_at = slot + cost / self.rate
 
     def cut(self, now, refused):
-        if now - self.changed < CLEAN_MS:
+        if now - self.rate_changed_at < ADJUSTMENT_MS:
             return
         if self.rate is None:
-            self.rate = self.level = max(LEAST_RATE / CUT, self.acks.count(now) / CLEAN_MS)
-            self.due = now + 1.0 / self.rate  # nothing was booked while it was unpaced
+            self.rate = self.target_rate = max(
+                MIN_RATE_PER_MS / CUT_FACTOR, self.recent_acks.count(now) / ADJUSTMENT_MS
+            )
+            self.next_slot_at = now + 1.0 / self.rate  # nothing was booked while it was unpaced
         # Refusals lead to the even part, not below, unless nothing was served since: then the list is wrong.
-        due = self.fair * self.sure if self.even and self.served else LEAST_RATE / 4
+        due = (
+            self.equal_share * self.listed_rate_confidence
+            if self.busy_share and self.has_acked_since_cut
+            else MIN_RATE_PER_MS / 4
+        )
         if refused:
-            self.level = max(min(self.level, max(self.rate, due)) * LEVEL_KEPT, due)
-        rate, self.rate, self.changed, self.cut_at = self.rate, max(self.rate * CUT, due * CUT), now, now
-        self.served = False
-        self.due = max(now, self.due) + 1.0 / self.rate - 1.0 / rate  # what was booked is booked anew
+            self.target_rate = max(min(self.target_rate, max(self.rate, due)) * TARGET_KEPT, due)
+        rate, self.rate, self.rate_changed_at, self.rate_cut_at = (
+            self.rate,
+            max(self.rate * CUT_FACTOR, due * CUT_FACTOR),
+            now,
+            now,
+        )
+        self.has_acked_since_cut = False
+        self.next_slot_at = (
+            max(now, self.next_slot_at) + 1.0 / self.rate - 1.0 / rate
+        )  # what was booked is booked anew
 
-    def acked(self, now, latency, slow_everywhere):
-        self.run, self.served = 0, True
+    def record_ack(self, now, latency, slow_everywhere):
+        self.consecutive_failures, self.has_acked_since_cut = 0, True
         self.usual_rate.add(now)
-        self.acks.add(now)
-        if self.latency.add(latency):
-            self.low = min(self.latency.value, self.low * 1.03 if self.low else self.latency.value)
+        self.recent_acks.add(now)
+        if self.recent_latency_ms.add(latency):
+            self.lowest_latency_ms = min(
+                self.recent_latency_ms.value,
+                self.lowest_latency_ms * 1.03 if self.lowest_latency_ms else self.recent_latency_ms.value,
+            )
             # Guards against a rise seen everywhere at once: that is not this destination's overload.
-            if self.risen() and not slow_everywhere():
+            if self.latency_has_risen() and not slow_everywhere():
                 self.cut(now, False)
-        if self.rate is not None and self.rate < self.level:
-            if now - self.changed >= CLEAN_MS:
-                self.rate, self.changed = min(self.level, self.rate / CUT), now
-        elif self.rate is not None and now - self.pressed < CLEAN_MS:
+        if self.rate is not None and self.rate < self.target_rate:
+            if now - self.rate_changed_at >= ADJUSTMENT_MS:
+                self.rate, self.rate_changed_at = min(self.target_rate, self.rate / CUT_FACTOR), now
+        elif self.rate is not None and now - self.demand_at < ADJUSTMENT_MS:
             # Nobody knows an unlisted rate: it grows by a share of itself, faster the longer nothing was cut.
-            part = self.even or self.level * min(SEARCH_MOST, (now - self.cut_at) / SEARCH_MS)
-            step = GROW * self.left * part / (self.rate * 1000.0)
-            most = MOST_RATE * (self.listed or math.inf)
-            self.rate = self.level = max(self.rate, min(self.rate + step, most))
+            part = self.busy_share or self.target_rate * min(
+                MAX_UNLISTED_GROWTH, (now - self.rate_cut_at) / UNLISTED_GROWTH_MS
+            )
+            step = GROWTH_SHARE_PER_S * self.spare_share * part / (self.rate * 1000.0)
+            most = MAX_LISTED_MULTIPLE * (self.listed_rate or math.inf)
+            self.rate = self.target_rate = max(self.rate, min(self.rate + step, most))
 
-    def quiet(self):
+    def silence_threshold_ms(self):
         """Ms without an outcome after which calls out are more than slow."""
-        return max(QUIET_MS, QUIET_CALLS * self.latency.value)
+        return max(MIN_SILENCE_MS, SILENCE_LATENCIES * self.recent_latency_ms.value)
 
-    def risen(self):
-        return self.low is not None and self.latency.value > max(RISEN * self.low, self.low + RISE_MS)
+    def latency_has_risen(self):
+        return self.lowest_latency_ms is not None and self.recent_latency_ms.value > max(
+            LATENCY_RISE_FACTOR * self.lowest_latency_ms, self.lowest_latency_ms + MIN_LATENCY_RISE_MS
+        )
 
 
 class Endpoint:
@@ -151,7 +219,12 @@
             0.0,
             0,
         )
-        self.is_down, self.is_silent, self.has_probe_in_flight, self.is_proved = False, False, False, False
+        self.is_down, self.is_silent, self.has_probe_in_flight, self.has_passed_probe = (
+            False,
+            False,
+            False,
+            False,
+        )
         self.failing_since, self.failed_at, self.acked_at = 0.0, -math.inf, -math.inf
         self.warming_since, self.table_full_at = -math.inf, -math.inf
         self.retry_at = -math.inf  # after a full table; an unpaced key has no other pause
@@ -171,31 +244,36 @@
         )
         self.max_calls_in_flight, self.capacity, self.max_attempts = (
             settings.max_calls_in_flight,
-            settings.max_pending_events * CROWDED,
+            settings.max_pending_events * CAPACITY_SHARE,
             settings.max_attempts,
         )
         utility = sum(s.priority_weight for s in self.stream_types)
-        self.busy = (
-            BUSY * sum(s.priority_weight * s.latency_objective_ms for s in self.stream_types) / utility
+        self.busy_span_ms = (
+            BUSY_SPAN_SHARE
+            * sum(s.priority_weight * s.latency_objective_ms for s in self.stream_types)
+            / utility
             if utility
             else 1000.0
         )
-        self.fees = [
+        self.carriage_costs = [
             fee * utility / max(1, len(self.stream_types)) for fee in settings.carriage_cost_by_zone
         ]  # utility units
         self.has_rates = settings.listed_rates in ("nominal", "rough")
-        self.longest = max([s.max_age_ms for s in self.stream_types] or [1e3])
-        self.quota = [
+        self.longest_wait_ms = max([s.max_age_ms for s in self.stream_types] or [1e3])
+        self.quotas = [
             [1000.0 * self.node_count / q if q else 0.0, 0.0] for q in settings.quotas
         ]  # [interval, due]
-        self.most_advice = settings.max_retry_after_ms if settings.may_send_retry_after else 0.0
-        self.listing_at = 0.0 if settings.polls_discovery else math.inf
-        first = ASKED_PAUSE_MS if settings.polls_discovery else PUSHED_PAUSE_MS
+        self.max_retry_after_ms = settings.max_retry_after_ms if settings.may_send_retry_after else 0.0
+        self.next_list_request_at = 0.0 if settings.polls_discovery else math.inf
+        first = DISCOVERY_BACKOFF_MS if settings.polls_discovery else AGENT_BACKOFF_MS
         # Asked within this time, a node does not count as told of what it has not heard.
-        most = settings.poll_within_ms / (1 + PAUSE_SPREAD) if settings.polls_discovery else 0.0
-        self.list_pause, self.list_pauses = first, (first, max(first, most))
-        self.sure = ROUGH_SURE if settings.listed_rates == "rough" else 1.0
-        self.warm_up, self.margin = max(1.0, settings.warm_up_ms), max(MARGIN_MS, 2 * settings.tick_ms)
+        most = settings.poll_within_ms / (1 + BACKOFF_SPREAD) if settings.polls_discovery else 0.0
+        self.list_backoff_ms, self.list_backoff_bounds_ms = first, (first, max(first, most))
+        self.listed_rate_confidence = ROUGH_LIST_CONFIDENCE if settings.listed_rates == "rough" else 1.0
+        self.warm_up_ms, self.answer_margin_ms = (
+            max(1.0, settings.warm_up_ms),
+            max(MIN_ANSWER_MARGIN_MS, 2 * settings.tick_ms),
+        )
         # By number, as the list names them; endpoints leave when long gone.
         self.destinations: dict = {}
         self.endpoints: dict = {}
@@ -204,7 +282,11 @@
         # Endpoints that are down, in the order they went; emptied by an ack or the list.
         self.down_endpoints: dict = {}
         self.newly_idle: dict = {}  # endpoints whose last call out has ended; emptied each turn
-        self.connect, self.calls_in_flight, self.pending_count = AT_ONCE * settings.connect_timeout_ms, 0, 0
+        self.prompt_connect_ms, self.calls_in_flight, self.pending_count = (
+            PROMPT_CONNECT_SHARE * settings.connect_timeout_ms,
+            0,
+            0,
+        )
 
     def add_event(self, now, stream_type_number, destination_number, left, tenant=None, subject=0):
         """Hold an event. `tenant`: its place among the quotas; None is none of them."""
@@ -218,7 +300,7 @@
             subject * stream_type.is_ordered,
             now,
             left,
-            self._weight(stream_type, tenant, now),
+            self._weight_in_quota(stream_type, tenant, now),
         )
         destination.pending_count += 1
         self.pending_count += 1
@@ -228,18 +310,18 @@
             self.ordering_queues.setdefault(event.ordering_key, [deque(), -math.inf])[0].append(event)
         return event
 
-    def _weight(self, stream_type, tenant, now):
-        if not self.quota:
+    def _weight_in_quota(self, stream_type, tenant, now):
+        if not self.quotas:
             return stream_type.priority_weight
         # Who is no tenant has no share, least of all another's: all of it is beyond one.
-        share = self.quota[tenant] if tenant is not None and tenant < len(self.quota) else [0.0, math.inf]
+        share = self.quotas[tenant] if tenant is not None and tenant < len(self.quotas) else [0.0, math.inf]
         if share[1] > now + 2000.0:  # over its share by two seconds of it: worth little
             return stream_type.priority_weight * self.settings.over_quota_weight
         share[1] = max(now, share[1]) + share[0] if share[0] else 0.0
         return stream_type.priority_weight
 
     def apply_endpoint_list(self, entries, whole, now):
-        named, grown, self.list_pause = set(), {}, self.list_pauses[0]
+        named, grown, self.list_backoff_ms = set(), {}, self.list_backoff_bounds_ms[0]
         for ident, destination_number, zone, kind, rate, ready in entries:
             destination, blocked = (
                 self.destinations.setdefault(destination_number, Destination(destination_number)),
@@ -252,11 +334,11 @@
             if (old := self.endpoints.get(ident)) and (
                 old.destination is not destination or old.has_separate_route != apart
             ):
-                self._gone(
+                self._remove(
                     self.endpoints.pop(ident)
                 )  # under its id it serves another now, or as another kind
                 self.down_endpoints.pop(old, None)
-                blocked = old.rate_limiter.blocked if old.destination is destination else blocked
+                blocked = old.rate_limiter.retry_after_until if old.destination is destination else blocked
             if ident not in self.endpoints and not ready:
                 continue
             if ident not in self.endpoints:
@@ -267,18 +349,24 @@
             if endpoint.rate_limiter is None:
                 fresh = apart or not destination.rate_limiter
                 endpoint.rate_limiter = (
-                    RateLimiter(listed, self.node_count, self.sure, self.busy, self.longest)
+                    RateLimiter(
+                        listed,
+                        self.node_count,
+                        self.listed_rate_confidence,
+                        self.busy_span_ms,
+                        self.longest_wait_ms,
+                    )
                     if fresh
                     else destination.rate_limiter
                 )
                 destination.rate_limiter = destination.rate_limiter or endpoint.rate_limiter
-            elif listed and listed != endpoint.rate_limiter.named:
-                endpoint.rate_limiter.hold_true(listed, self.node_count, self.sure)
-            endpoint.rate_limiter.named = (
-                listed or endpoint.rate_limiter.named
+            elif listed and listed != endpoint.rate_limiter.rate_as_listed:
+                endpoint.rate_limiter.set_listed_rate(listed, self.node_count, self.listed_rate_confidence)
+            endpoint.rate_limiter.rate_as_listed = (
+                listed or endpoint.rate_limiter.rate_as_listed
             )  # as the list names it, not as reports correct it
-            endpoint.rate_limiter.blocked = max(
-                endpoint.rate_limiter.blocked, blocked
+            endpoint.rate_limiter.retry_after_until = max(
+                endpoint.rate_limiter.retry_after_until, blocked
             )  # a told wait outlasts the change
             endpoint.has_separate_route, endpoint.is_ready, endpoint.zone = (
                 apart,
@@ -288,7 +376,9 @@
             endpoint.batch_size = (
                 self.settings.batch_size_by_kind[kind] if kind < len(self.settings.batch_size_by_kind) else 1
             )
-            endpoint.carriage_cost = self.fees[zone] if apart and zone < len(self.fees) else 0.0
+            endpoint.carriage_cost = (
+                self.carriage_costs[zone] if apart and zone < len(self.carriage_costs) else 0.0
+            )
             if ready and endpoint not in destination.endpoints:
                 grown[destination] = destination.endpoints = destination.endpoints + [endpoint]
         for destination in grown:
@@ -296,15 +386,17 @@
         for endpoint in [
             s for s in self.endpoints.values() if not s.is_ready or (whole and s.endpoint_id not in named)
         ]:
-            self._gone(endpoint)
+            self._remove(endpoint)
             # One that comes back under its id within an outage or a told wait must find both still known.
-            known_until = max(endpoint.last_outcome_at + 2 * self.warm_up, endpoint.rate_limiter.blocked)
+            known_until = max(
+                endpoint.last_outcome_at + 2 * self.warm_up_ms, endpoint.rate_limiter.retry_after_until
+            )
             if not endpoint.calls_in_flight and not endpoint.has_probe_in_flight and now > known_until:
                 self.down_endpoints.pop(endpoint, None)
                 del self.endpoints[endpoint.endpoint_id]
 
     @staticmethod
-    def _gone(endpoint):
+    def _remove(endpoint):
         endpoint.is_ready = False
         if endpoint in endpoint.destination.endpoints:
             endpoint.destination.endpoints.remove(endpoint)
@@ -313,18 +405,20 @@
         """When to ask again: exponential backoff where a call is a load on discovery shared by all nodes.
         Repeated sooner than it can answer all, calls keep it turning them away or answering too late.
         """
-        self.listing_at = now + self.list_pause * self.random_uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
-        self.list_pause = min(2 * self.list_pause, self.list_pauses[1])
-        return self.listing_at
+        self.next_list_request_at = now + self.list_backoff_ms * self.random_uniform(
+            1 - BACKOFF_SPREAD, 1 + BACKOFF_SPREAD
+        )
+        self.list_backoff_ms = min(2 * self.list_backoff_ms, self.list_backoff_bounds_ms[1])
+        return self.next_list_request_at
 
     def should_request_list(self, now):
-        if now < self.listing_at:
+        if now < self.next_list_request_at:
             return False
-        self.listing_at = math.inf
+        self.next_list_request_at = math.inf
         return True
 
     def withdraw(self, event, now):
-        self._end(event)
+        self._release(event)
 
     def sort_by_urgency(self, events, now):
         spans = {
@@ -335,11 +429,11 @@
 
     def ranking_horizon_ms(self, destination, now):
         """Ms by which the events of a destination are ranked: what its whole queue takes."""
-        return min(self.longest, max(1000.0, self.queue_drain_time_ms(destination, now)))
+        return min(self.longest_wait_ms, max(1000.0, self.queue_drain_time_ms(destination, now)))
 
     def urgency_rank(self, event, span, now):
         """Events of lower rank are asked for first."""
-        return -self._urgency(event, span, now), event.latency_objective_at
+        return -self._delay_cost(event, span, now), event.latency_objective_at
 
     def ordering_turn_at(self, event, now):
         """When its subject's turn is this event's: `now`, later, or inf: after those before it."""
@@ -352,12 +446,12 @@
 
     def queue_class(self, event):
         """Events of one destination for which this is equal are told the same until one is sent."""
-        return event.stream_type, event.may_have_run_group if self._bound(event) else None
+        return event.stream_type, event.may_have_run_group if self._is_bound_to_group(event) else None
 
     def has_joinable_call(self, destination, now):
         """Whether a call of this turn takes others with it, though maybe not each event."""
         return any(
-            endpoint.rate_limiter.ride[1] == now and endpoint.rate_limiter.ride[2] > 0
+            endpoint.rate_limiter.shared_call[1] == now and endpoint.rate_limiter.shared_call[2] > 0
             for endpoint in destination.endpoints
         )
 
@@ -383,7 +477,7 @@
 
     def slots_are_scarce(self):
         """Whether events may wait for a slot that a send of any destination holds."""
-        return self.calls_in_flight >= SCARCE * self.max_calls_in_flight
+        return self.calls_in_flight >= SCARCE_SLOTS_SHARE * self.max_calls_in_flight
 
     def is_over_capacity(self):
         return self.pending_count > self.capacity
@@ -391,9 +485,9 @@
     def decide(self, event, now):
         """Send, Later, Decline or Discard."""
         if (
-            self._spent(event, now)
+            self._is_spent(event, now)
             or self.pending_count > self.capacity
-            and self._longest(event.destination)
+            and self._has_longest_queue(event.destination)
             and self.is_safe_to_reject(event)
         ):
             return self._give_up(event, now)
@@ -401,7 +495,7 @@
         if (turn_at := self.ordering_turn_at(event, now)) > now:
             event.check_at, event.waits_for_outcome = min(event.check_at, turn_at), True
             return Defer()
-        endpoint, moment, joins = self._pick(event, now)
+        endpoint, moment, joins = self._select_endpoint(event, now)
         if endpoint is None:
             event.check_at, event.waits_for_outcome = min(event.check_at, moment), moment == math.inf
             return Defer()
@@ -414,8 +508,8 @@
         if (
             event.is_finished
             or not endpoint.is_ready
-            or now < endpoint.rate_limiter.blocked
-            or not self._in_group(event, endpoint)
+            or now < endpoint.rate_limiter.retry_after_until
+            or not self._may_go_to(event, endpoint)
         ):
             return -math.inf
         last = self.give_up_at(event, now)
@@ -439,17 +533,21 @@
                 and not call.is_recorded
                 and endpoint.rate_limiter.rate
             ):
-                endpoint.rate_limiter.due -= (
+                endpoint.rate_limiter.next_slot_at -= (
                     1.0 / endpoint.rate_limiter.rate
                 )  # nobody was called: its slot is the next one's
         if (
             retry_after_ms > 0 and outcome != SendOutcome.NOT_EXECUTED
         ):  # each event of a call may be told a wait of its own
-            self._told(endpoint.rate_limiter, now + retry_after_ms + 1.0)
-            if outcome == SendOutcome.RATE_LIMITED and retry_after_ms > SHUT_MS and not endpoint.is_down:
-                self._lose(endpoint, now, True)
+            self._apply_retry_after(endpoint.rate_limiter, now + retry_after_ms + 1.0)
+            if (
+                outcome == SendOutcome.RATE_LIMITED
+                and retry_after_ms > SHUT_AFTER_MS
+                and not endpoint.is_down
+            ):
+                self._mark_down(endpoint, now, True)
         if outcome in (SendOutcome.FAILED, SendOutcome.TIMED_OUT, SendOutcome.RESET):
-            endpoint.ejected_until_by_stream_type[event.stream_type] = now + SHUN_MS
+            endpoint.ejected_until_by_stream_type[event.stream_type] = now + STREAM_TYPE_EJECTION_MS
         elif outcome == SendOutcome.ACKED:
             endpoint.ejected_until_by_stream_type.pop(event.stream_type, None)
         if not call.is_recorded:
@@ -458,17 +556,17 @@
                 SendOutcome.NOT_EXECUTED,
                 SendOutcome.NOT_SENT,
             )  # nothing, of one that was not in it
-            self._learn(endpoint, outcome, now, latency_ms, load_report)
+            self._record_health(endpoint, outcome, now, latency_ms, load_report)
         if outcome not in (SendOutcome.ACKED, *NEVER_RAN):
             if event.may_have_run_at is None:
                 event.may_have_run_at, event.may_have_run_group = event.sent_at, event.sent_group
             if event.ordering_key and outcome != SendOutcome.FAILED:
                 self.ordering_queues[event.ordering_key][1] = now + self.settings.ordering_rest_ms
         if is_finished or event.is_finished:
-            self._end(event)
+            self._release(event)
             return None
         event.check_at, event.waits_for_outcome = now, False
-        return self._give_up(event, now) if self._spent(event, now) else Defer()
+        return self._give_up(event, now) if self._is_spent(event, now) else Defer()
 
     def next_check(self, event, now):
         return NextCheck(max(now, event.check_at), event.waits_for_outcome)
@@ -478,12 +576,13 @@
         found = [
             s
             for s in self.down_endpoints
-            if self._wants_probe(s) and s.rate_limiter.cold_due <= now >= s.rate_limiter.blocked
+            if self._wants_probe(s)
+            and s.rate_limiter.next_cold_slot_at <= now >= s.rate_limiter.retry_after_until
         ]
         for endpoint in found:
-            endpoint.has_probe_in_flight, endpoint.rate_limiter.cold_due = (
+            endpoint.has_probe_in_flight, endpoint.rate_limiter.next_cold_slot_at = (
                 True,
-                now + self._cold_pause(endpoint, now),
+                now + self._recovery_pause_ms(endpoint, now),
             )
         return found
 
@@ -496,16 +595,21 @@
         return [
             s
             for s in idle
-            if not s.calls_in_flight and (now - s.table_full_at < CROWDED_MS or self._idles(s, now))
+            if not s.calls_in_flight
+            and (now - s.table_full_at < FULL_TABLE_MS or self._is_mostly_idle(s, now))
         ]
 
-    def _idles(self, endpoint, now):
+    def _is_mostly_idle(self, endpoint, now):
         """Whether a connection there would idle most of the time. Not while events wait; where no end of that
         is told it may.
         """
-        used = endpoint.rate_limiter.usual_rate.at(now) * max(endpoint.rate_limiter.latency.value, PLACE_MS)
+        used = endpoint.rate_limiter.usual_rate.at(now) * max(
+            endpoint.rate_limiter.recent_latency_ms.value, MIN_CONNECTION_USE_MS
+        )
         return (
-            self.settings.keepalive_ms < math.inf and not endpoint.destination.pending_count and used <= USED
+            self.settings.keepalive_ms < math.inf
+            and not endpoint.destination.pending_count
+            and used <= MIN_CONNECTION_USE
         )
 
     def _wants_probe(self, endpoint):
@@ -516,36 +620,36 @@
             and endpoint.is_silent
             and endpoint.is_ready
             and endpoint.destination.pending_count > 0
-            and not (endpoint.is_proved or endpoint.has_probe_in_flight or endpoint.calls_in_flight)
+            and not (endpoint.has_passed_probe or endpoint.has_probe_in_flight or endpoint.calls_in_flight)
         )
 
     def record_probe(self, ident, outcome, now, latency, report=None):
         if endpoint := self.endpoints.get(ident):
-            endpoint.has_probe_in_flight, endpoint.is_proved = (
+            endpoint.has_probe_in_flight, endpoint.has_passed_probe = (
                 False,
                 endpoint.has_probe_in_flight and outcome == SendOutcome.ACKED,
             )
 
     def next_wakeup_at(self, now):
         trials = [
-            max(s.rate_limiter.cold_due, s.rate_limiter.blocked)
+            max(s.rate_limiter.next_cold_slot_at, s.rate_limiter.retry_after_until)
             for s in self.down_endpoints
             if self._wants_probe(s)
         ]
-        return min(m if m > now else math.inf for m in [self.listing_at, *trials])
+        return min(m if m > now else math.inf for m in [self.next_list_request_at, *trials])
 
-    def _urgency(self, event, span, now):
+    def _delay_cost(self, event, span, now):
         """The utility a ms that waiting for the queue (`span`) would cost, once late; less while the SLO time
         is far. Guards an overload, where the oldest first would have all of them served too late.
         """
         late = max(now, event.latency_objective_at)
-        lost = (self._value(event, late) - self._value(event, max(now + span, late + 1000.0))) / span
+        lost = (self._value_at(event, late) - self._value_at(event, max(now + span, late + 1000.0))) / span
         return lost * math.exp(
             min(0.0, now + span - 1000.0 - event.latency_objective_at)
             / max(200.0, event.stream_type.latency_objective_ms)
         )
 
-    def _value(self, event, at):
+    def _value_at(self, event, at):
         stream_type, late, worth = (
             event.stream_type,
             max(0.0, at - event.latency_objective_at),
@@ -570,26 +674,34 @@
         )
 
     @staticmethod
-    def _bound(event):
+    def _is_bound_to_group(event):
         return (
             event.may_have_run_at is not None
             and event.stream_type.effect == Effect.DEDUPLICATED
             and event.stream_type.deduplication_group != "all"
         )
 
-    def _in_group(self, event, endpoint):
-        return not self._bound(event) or self.deduplication_group(event, endpoint) == event.may_have_run_group
+    def _may_go_to(self, event, endpoint):
+        return (
+            not self._is_bound_to_group(event)
+            or self.deduplication_group(event, endpoint) == event.may_have_run_group
+        )
 
-    def _pick(self, event, now):
+    def _select_endpoint(self, event, now):
         """(sink, moment, joins a call): the sink to send to now, or None and when there may be one."""
         rows = []
         for endpoint in event.destination.endpoints:
-            if not self._in_group(event, endpoint):
+            if not self._may_go_to(event, endpoint):
                 continue
-            call, at, left = endpoint.rate_limiter.ride
-            if at == now and left > 0 and call.endpoint is endpoint and self._shares(event, endpoint, now):
+            call, at, left = endpoint.rate_limiter.shared_call
+            if (
+                at == now
+                and left > 0
+                and call.endpoint is endpoint
+                and self._may_share_call(event, endpoint, now)
+            ):
                 return endpoint, now, True
-            rows.append((endpoint, self._moment(endpoint, now)))
+            rows.append((endpoint, self._available_at(endpoint, now)))
         # Guards a stream type that one endpoint fails while it takes others: endpoints that did not are asked
         # first. Hurts where its failures are chance and the others have less room.
         rows = [
@@ -601,7 +713,7 @@
         if (
             self.calls_in_flight >= self.max_calls_in_flight
             or not rows
-            or self.calls_in_flight >= SCARCE * self.max_calls_in_flight
+            or self.calls_in_flight >= SCARCE_SLOTS_SHARE * self.max_calls_in_flight
             and busy * 2 >= self.calls_in_flight
         ):
             # The last keeps a destination that hangs from taking the slots of all others before it is quiet.
@@ -615,20 +727,20 @@
                     else 0.0
                 )
                 start = max(row[1], now) + queue
-                return self._value(event, start + row[0].rate_limiter.latency.value) - row[
+                return self._value_at(event, start + row[0].rate_limiter.recent_latency_ms.value) - row[
                     0
                 ].carriage_cost, -start
 
             best = max(rows, key=worth)
             if best[1] > now:
-                if best[1] < math.inf and best[1] > best[0].rate_limiter.blocked:
-                    best[0].rate_limiter.pressed = now
+                if best[1] < math.inf and best[1] > best[0].rate_limiter.retry_after_until:
+                    best[0].rate_limiter.demand_at = now
                 return None, min(moment for _, moment in rows if moment > now), False
             return best[0], now, False
         ready, soonest = [s for s, moment in rows if moment <= now], min(moment for _, moment in rows)
         if not ready:
             if soonest < math.inf:
-                event.destination.rate_limiter.pressed = now
+                event.destination.rate_limiter.demand_at = now
             return None, soonest, False
         tried = min((s.consecutive_failures for s in ready if s.is_down), default=0)
         ready = [s for s in ready if not s.is_down or s.consecutive_failures == tried]
@@ -636,7 +748,7 @@
         enough = max(
             1.0,
             (event.destination.rate_limiter.rate or 0.004)
-            * event.destination.rate_limiter.latency.value
+            * event.destination.rate_limiter.recent_latency_ms.value
             / len(event.destination.endpoints),
         )
         return (
@@ -646,169 +758,196 @@
             False,
         )
 
-    def _moment(self, endpoint, now):
+    def _available_at(self, endpoint, now):
         """When this sink may get a call: inf means after some outcome."""
         key = endpoint.rate_limiter
         if endpoint.is_down:
             if (
                 endpoint.calls_in_flight
                 or endpoint.has_probe_in_flight
-                or (self.settings.may_send_health_checks and endpoint.is_silent and not endpoint.is_proved)
+                or (
+                    self.settings.may_send_health_checks
+                    and endpoint.is_silent
+                    and not endpoint.has_passed_probe
+                )
             ):
                 return math.inf
             return max(
-                now if endpoint.is_proved or not endpoint.consecutive_failures else key.cold_due,
+                now
+                if endpoint.has_passed_probe or not endpoint.consecutive_failures
+                else key.next_cold_slot_at,
                 key.ready_at(),
             )
-        if endpoint.calls_in_flight and now - endpoint.last_outcome_at > key.quiet() * (
+        if endpoint.calls_in_flight and now - endpoint.last_outcome_at > key.silence_threshold_ms() * (
             1 if endpoint.calls_in_flight > 1 else 2
         ):
             # Bookings never learn when calls end: a silent sink would take slot after slot.
             return math.inf
-        cold = now - endpoint.warming_since < self.warm_up
-        return max(key.ready_at(), endpoint.retry_at, key.cold_due if cold else now)
+        cold = now - endpoint.warming_since < self.warm_up_ms
+        return max(key.ready_at(), endpoint.retry_at, key.next_cold_slot_at if cold else now)
 
     def _send(self, event, endpoint, joins, now):
         key = endpoint.rate_limiter
         if joins:
-            call, cost = key.ride[0], RIDER
-            key.ride = (call, now, key.ride[2] - 1)
+            call, cost = key.shared_call[0], SHARED_EVENT_COST
+            key.shared_call = (call, now, key.shared_call[2] - 1)
         else:
             call, cost = Call(endpoint), 1.0
-            alone = endpoint.is_down or not self._shares(event, endpoint, now)
-            key.ride = (call, now, 0 if alone else endpoint.batch_size - 1)
+            alone = endpoint.is_down or not self._may_share_call(event, endpoint, now)
+            key.shared_call = (call, now, 0 if alone else endpoint.batch_size - 1)
             self.calls_in_flight += 1
             endpoint.last_outcome_at = endpoint.last_outcome_at if endpoint.calls_in_flight else now
             endpoint.calls_in_flight += 1
         key.book(now, cost)
-        if endpoint.is_down or now - endpoint.warming_since < self.warm_up:
+        if endpoint.is_down or now - endpoint.warming_since < self.warm_up_ms:
             # The trial of an endpoint that has not failed itself waits for no moment, and puts none off.
-            booked = now if endpoint.is_down and not endpoint.is_proved else max(now, key.cold_due)
-            key.cold_due = booked + cost * self._cold_pause(endpoint, now)
+            booked = (
+                now if endpoint.is_down and not endpoint.has_passed_probe else max(now, key.next_cold_slot_at)
+            )
+            key.next_cold_slot_at = booked + cost * self._recovery_pause_ms(endpoint, now)
         call.unresolved_count += 1
         event.call, event.endpoint, event.sent_at, event.attempts = call, endpoint, now, event.attempts + 1
         event.sent_group = self.deduplication_group(event, endpoint)
-        return Send(endpoint, self._allow(event, endpoint, now))
+        return Send(endpoint, self._timeout_ms(event, endpoint, now))
 
-    def _cold_pause(self, endpoint, now):
+    def _recovery_pause_ms(self, endpoint, now):
         """Guards a destination that is out or returns cold: this node's part of the fall budget, for trials,
         probes and events: the mean of its usual share and an even one among the nodes that can have met the
         outage. Both add up, however many nodes there are. Hurts where others leave theirs unused.
         """
-        key, growth = endpoint.rate_limiter, (1 - self.settings.cold_capacity_share) / self.warm_up
+        key, growth = endpoint.rate_limiter, (1 - self.settings.cold_capacity_share) / self.warm_up_ms
         present = self.settings.cold_capacity_share + (
             0.0 if endpoint.is_down else growth * (now - endpoint.warming_since)
         )
-        busy = max(key.busy, now - key.out_since)
-        share = key.among(busy, self.node_count) if key.listed else key.owed or LEAST_RATE
-        pause = 2.0 / (self.settings.overload_multiple * (key.owed + key.sure * share))  # were it warm
+        busy = max(key.busy_span_ms, now - key.outage_began_at)
+        share = (
+            key.share_among_nodes(busy, self.node_count)
+            if key.listed_rate
+            else key.rate_before_outage or MIN_RATE_PER_MS
+        )
+        pause = 2.0 / (
+            self.settings.overload_multiple * (key.rate_before_outage + key.listed_rate_confidence * share)
+        )  # were it warm
         if endpoint.is_down or not growth:
             return self.random_uniform(0.8, 1.2) * pause / present
         # Over which a share that grows with the endpoint amounts to one call.
         return self.random_uniform(0.8, 1.2) * (math.sqrt(present**2 + 2 * growth * pause) - present) / growth
 
-    def _shares(self, event, endpoint, now):
+    def _may_share_call(self, event, endpoint, now):
         """Whether it may travel with others. Guards them: a call ends for all when the time of one of its
         events is up, and one that has less left than a slow answer takes would break it off for the others.
         Hurts near the end of many events, each of which takes a slot.
         """
-        rest = self._rest(event, now)
-        return rest >= endpoint.rate_limiter.quiet() or self._allow(event, endpoint, now) < rest
+        rest = self._time_left_ms(event, now)
+        return (
+            rest >= endpoint.rate_limiter.silence_threshold_ms()
+            or self._timeout_ms(event, endpoint, now) < rest
+        )
 
-    def _rest(self, event, now):
+    def _time_left_ms(self, event, now):
         """Ms for which an answer may be waited for: after that there must be time to tell the event's end."""
-        return event.expires_at - self.margin - now
+        return event.expires_at - self.answer_margin_ms - now
 
-    def _allow(self, event, endpoint, now):
-        rest = self._rest(event, now)
+    def _timeout_ms(self, event, endpoint, now):
+        rest = self._time_left_ms(event, now)
         if event.stream_type.effect == Effect.NON_IDEMPOTENT:
             return max(1.0, rest)  # a time-out would only end it: nothing may follow
-        cold = 2.0 if now - endpoint.warming_since < self.warm_up else 1.0
-        allow = min(cold * (ALLOW_MS + ALLOW_CALLS * endpoint.rate_limiter.latency.value), ALLOW_MOST_MS)
+        cold = 2.0 if now - endpoint.warming_since < self.warm_up_ms else 1.0
+        allow = min(
+            cold * (BASE_TIMEOUT_MS + TIMEOUT_LATENCIES * endpoint.rate_limiter.recent_latency_ms.value),
+            MAX_TIMEOUT_MS,
+        )
         most = (
-            ALLOW_REST * event.stream_type.deduplication_window_ms
+            TIMEOUT_SHARE * event.stream_type.deduplication_window_ms
             if event.stream_type.effect == Effect.DEDUPLICATED
-            else max(ALLOW_MS, ALLOW_REST * rest)
+            else max(BASE_TIMEOUT_MS, TIMEOUT_SHARE * rest)
         )
         return max(1.0, min(allow, most, rest))
 
-    def _learn(self, endpoint, outcome, now, latency, report):
+    def _record_health(self, endpoint, outcome, now, latency, report):
         key = endpoint.rate_limiter
         if report:
             limit = report.limit_per_s / 1000.0
-            key.left = report.spare_share if limit > 0 else 1.0
-            if limit > 0 and key.listed:  # it replaces the listed rate: noise smoothed, a fall at once
-                fresh = key.sure < 1.0 or limit < FELL * key.listed
-                key.hold_true(
-                    key.listed + (limit - key.listed) * (1.0 if fresh else SMOOTH), self.node_count, 1.0
+            key.spare_share = report.spare_share if limit > 0 else 1.0
+            if limit > 0 and key.listed_rate:  # it replaces the listed rate: noise smoothed, a fall at once
+                fresh = key.listed_rate_confidence < 1.0 or limit < LIMIT_FALL_RATIO * key.listed_rate
+                key.set_listed_rate(
+                    key.listed_rate + (limit - key.listed_rate) * (1.0 if fresh else SMOOTHING_WEIGHT),
+                    self.node_count,
+                    1.0,
                 )
-                key.rate = min(key.rate or math.inf, key.listed)
+                key.rate = min(key.rate or math.inf, key.listed_rate)
         if outcome in (SendOutcome.CANCELLED, SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT):
             return
         endpoint.last_outcome_at = now
         if (
             outcome == SendOutcome.CONNECTION_LIMIT
         ):  # neither its limit nor its health: it answered that its table is full
-            endpoint.table_full_at, endpoint.retry_at = now, now + TRY_MS * self.random_uniform(0.5, 1.5)
+            endpoint.table_full_at, endpoint.retry_at = (
+                now,
+                now + MIN_TRIAL_PAUSE_MS * self.random_uniform(0.5, 1.5),
+            )
             return
         if outcome == SendOutcome.ACKED:
             endpoint.acked_at, endpoint.consecutive_failures, endpoint.failure_ratio = (
                 now,
                 0,
-                endpoint.failure_ratio * (1 - SMOOTH),
+                endpoint.failure_ratio * (1 - SMOOTHING_WEIGHT),
             )
             if endpoint.is_down:
                 # It came back some time since the last failure: in the mean over all nodes, half way.
-                began = max(endpoint.failed_at, key.out_since, key.blocked)
+                began = max(endpoint.failed_at, key.outage_began_at, key.retry_after_until)
                 endpoint.is_down, endpoint.is_silent, endpoint.warming_since = False, False, (began + now) / 2
                 self.down_endpoints.pop(endpoint, None)
-                endpoint.failure_ratio = min(endpoint.failure_ratio, MOSTLY_BAD / 2)
+                endpoint.failure_ratio = min(endpoint.failure_ratio, MAX_FAILURE_RATIO / 2)
                 # The next call waits as it warms, no more as a trial.
-                key.cold_due = min(key.cold_due, now + self._cold_pause(endpoint, now))
-            key.acked(now, latency, self._slow_everywhere)
+                key.next_cold_slot_at = min(
+                    key.next_cold_slot_at, now + self._recovery_pause_ms(endpoint, now)
+                )
+            key.record_ack(now, latency, self._slow_everywhere)
             return
         if outcome == SendOutcome.RATE_LIMITED and not endpoint.is_down:
             key.cut(now, True)
         elif outcome != SendOutcome.RATE_LIMITED:
             # A connect that fails at once, maybe while others are answered, can be a full connection table.
-            if outcome == SendOutcome.UNREACHABLE and latency < self.connect:
+            if outcome == SendOutcome.UNREACHABLE and latency < self.prompt_connect_ms:
                 endpoint.table_full_at = now
                 if endpoint.calls_in_flight and now - endpoint.acked_at < 1000.0:
                     return
-            key.run, endpoint.failure_ratio = (
-                key.run + 1,
-                endpoint.failure_ratio + SMOOTH * (1 - endpoint.failure_ratio),
+            key.consecutive_failures, endpoint.failure_ratio = (
+                key.consecutive_failures + 1,
+                endpoint.failure_ratio + SMOOTHING_WEIGHT * (1 - endpoint.failure_ratio),
             )
         endpoint.consecutive_failures, endpoint.failing_since, endpoint.failed_at = (
             endpoint.consecutive_failures + 1,
             endpoint.failing_since if endpoint.consecutive_failures else now,
             now,
         )
-        endpoint.is_silent, endpoint.is_proved = outcome == SendOutcome.TIMED_OUT, False
+        endpoint.is_silent, endpoint.has_passed_probe = outcome == SendOutcome.TIMED_OUT, False
         if endpoint.is_down:
             return
         if (
-            endpoint.failure_ratio > MOSTLY_BAD
-            or endpoint.consecutive_failures >= ERROR_RUN
+            endpoint.failure_ratio > MAX_FAILURE_RATIO
+            or endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
             and outcome != SendOutcome.RATE_LIMITED
-            or endpoint.consecutive_failures > REFUSED_RUN
+            or endpoint.consecutive_failures > MAX_CONSECUTIVE_REJECTIONS
             and outcome == SendOutcome.RATE_LIMITED
-            and now - endpoint.failing_since > SHUT_MS
+            and now - endpoint.failing_since > SHUT_AFTER_MS
             or (
                 outcome == SendOutcome.TIMED_OUT
                 or outcome == SendOutcome.UNREACHABLE
-                and latency >= self.connect
-                or key.run >= ERROR_RUN
+                and latency >= self.prompt_connect_ms
+                or key.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
                 and outcome in (SendOutcome.UNREACHABLE, SendOutcome.FAILED)
             )
-            and now - max(endpoint.acked_at, endpoint.warming_since + self.warm_up) > ALONE_MS
+            and now - max(endpoint.acked_at, endpoint.warming_since + self.warm_up_ms) > LONE_FAILURE_MS
         ):
             # The last: a node of little traffic may see one call fail in all of an outage, and counts.
-            self._lose(endpoint, now, outcome == SendOutcome.RATE_LIMITED)
-        elif key.run >= ERROR_RUN and outcome != SendOutcome.RATE_LIMITED:
+            self._mark_down(endpoint, now, outcome == SendOutcome.RATE_LIMITED)
+        elif key.consecutive_failures >= MAX_CONSECUTIVE_FAILURES and outcome != SendOutcome.RATE_LIMITED:
             key.cut(now, False)
 
-    def _lose(self, endpoint, now, shut):
+    def _mark_down(self, endpoint, now, shut):
         """Guards against an outage of the whole destination of which this node sees little: endpoints beside
         it that long acked nothing get one trial, none when shut. Hurts where one endpoint alone is out.
         """
@@ -816,33 +955,41 @@
             return  # its call outlasted it: another is listed under its id, or none
         key = endpoint.rate_limiter
         beside = [s for s in endpoint.destination.endpoints if s.rate_limiter is key and s is not endpoint]
-        if not any(s.is_down or now - s.warming_since < self.warm_up for s in [endpoint, *beside]):
+        if not any(s.is_down or now - s.warming_since < self.warm_up_ms for s in [endpoint, *beside]):
             # It may have begun any time since the last ack, and it does not lessen the usual part.
-            key.out_since = max(now - self.warm_up, *(s.acked_at for s in [endpoint, *beside]))
-            key.owed = key.usual_rate.at(endpoint.failing_since if endpoint.consecutive_failures else now)
+            key.outage_began_at = max(now - self.warm_up_ms, *(s.acked_at for s in [endpoint, *beside]))
+            key.rate_before_outage = key.usual_rate.at(
+                endpoint.failing_since if endpoint.consecutive_failures else now
+            )
         for other in beside:
-            if shut or other.acked_at < now - self.warm_up / 2:
+            if shut or other.acked_at < now - self.warm_up_ms / 2:
                 other.is_down = self.down_endpoints[other] = True
                 other.consecutive_failures = max(other.consecutive_failures, int(shut))
         endpoint.is_down = self.down_endpoints[endpoint] = True
-        pause = self._cold_pause(endpoint, now) * self.random_uniform(0.0, 1.0)
-        key.cold_due = max(now, key.blocked) + max(TRY_MS, pause)
+        pause = self._recovery_pause_ms(endpoint, now) * self.random_uniform(0.0, 1.0)
+        key.next_cold_slot_at = max(now, key.retry_after_until) + max(MIN_TRIAL_PAUSE_MS, pause)
 
-    def _told(self, key, until):
+    def _apply_retry_after(self, key, until):
         """The page: a told wait blocks the key to its end, and the due moment restarts there."""
-        if until > key.blocked:
-            key.blocked = until
-            if key.even and key.rate:
+        if until > key.retry_after_until:
+            key.retry_after_until = until
+            if key.busy_share and key.rate:
                 # All that were told come back together, and refused calls may use up the limit: its part
                 # among those that can have an event waiting here.
-                key.rate = min(key.rate, key.crowd * key.sure)
-            key.due = max(key.due, until + self.random_uniform(0.0, 1.0) / (key.rate or 0.004))
+                key.rate = min(key.rate, key.waiting_share * key.listed_rate_confidence)
+            key.next_slot_at = max(
+                key.next_slot_at, until + self.random_uniform(0.0, 1.0) / (key.rate or 0.004)
+            )
 
     def _slow_everywhere(self):
-        known = [key for key in {s.rate_limiter for s in self.endpoints.values()} if key.low is not None]
-        return len(known) > 2 and sum(key.risen() for key in known) * 2 > len(known)
+        known = [
+            key
+            for key in {s.rate_limiter for s in self.endpoints.values()}
+            if key.lowest_latency_ms is not None
+        ]
+        return len(known) > 2 and sum(key.latency_has_risen() for key in known) * 2 > len(known)
 
-    def _longest(self, destination):
+    def _has_longest_queue(self, destination):
         return (
             destination.pending_count * sum(1 for d in self.destinations.values() if d.pending_count)
             > self.pending_count
@@ -850,12 +997,15 @@
 
     def give_up_at(self, event, now):
         """When it is given up at the latest."""
-        last = event.expires_at - self.margin
+        last = event.expires_at - self.answer_margin_ms
         if event.may_have_run_at is not None and event.stream_type.effect == Effect.DEDUPLICATED:
-            last = min(last, event.may_have_run_at + event.stream_type.deduplication_window_ms - self.margin)
+            last = min(
+                last,
+                event.may_have_run_at + event.stream_type.deduplication_window_ms - self.answer_margin_ms,
+            )
         return last
 
-    def _spent(self, event, now):
+    def _is_spent(self, event, now):
         return (
             now >= self.give_up_at(event, now)
             or event.attempts >= self.max_attempts
@@ -871,7 +1021,7 @@
         return event.may_have_run_at is None or event.stream_type.effect == Effect.IDEMPOTENT or anywhere
 
     def _give_up(self, event, now):
-        self._end(event)
+        self._release(event)
         return (
             Reject(self.retry_after_ms(event.destination, now))
             if self.is_safe_to_reject(event)
@@ -881,7 +1031,8 @@
     def retry_after_ms(self, destination, now):
         """Ms after which a client had best hand in again for a destination (None: unknown); 0: no advice."""
         return min(
-            self.most_advice, max(500.0, self.queue_drain_time_ms(destination, now) if destination else 0.0)
+            self.max_retry_after_ms,
+            max(500.0, self.queue_drain_time_ms(destination, now) if destination else 0.0),
         )
 
     def queue_drain_time_ms(self, destination, now):
@@ -892,12 +1043,12 @@
         )
         rate = sum(key.rate or math.inf for key in keys)
         return (
-            destination.pending_count / rate + max(0.0, min(key.blocked for key in keys) - now)
+            destination.pending_count / rate + max(0.0, min(key.retry_after_until for key in keys) - now)
             if keys
             else math.inf
         )
 
-    def _end(self, event):
+    def _release(self, event):
         if not event.is_finished:
             event.is_finished = True
             event.destination.pending_count -= 1
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -56,7 +56,7 @@
     node = run.session.router
     event, endpoint = node.add_event(0.0, 0, 0, 4000.0), node.endpoints["a"]
     assert node.send_deadline(event, endpoint, 10.0) == 3988.0
-    node._told(endpoint.rate_limiter, 500.0)
+    node._apply_retry_after(endpoint.rate_limiter, 500.0)
     assert (
         node.send_deadline(event, endpoint, 499.0) == -math.inf < node.send_deadline(event, endpoint, 500.0)
     )
@@ -83,12 +83,12 @@
     node = run.session.router
     one, two = [node.add_event(0.0, 0, 0, 9000.0) for _ in range(2)]
     assert node.decide(one, 0.0).endpoint is node.decide(two, 0.0).endpoint and one.call is two.call
-    due = node.endpoints["a"].rate_limiter.due
+    due = node.endpoints["a"].rate_limiter.next_slot_at
     node.record_outcome(one, SendOutcome.NOT_SENT, 10.0, 10.0)
     node.record_outcome(two, SendOutcome.ACKED, 50.0, 50.0)
     assert (
         node.endpoints["a"].acked_at == 50.0
-        and node.endpoints["a"].rate_limiter.due == due
+        and node.endpoints["a"].rate_limiter.next_slot_at == due
         and one.attempts == 0
     )
 
@@ -162,7 +162,7 @@
     run = SimulatedNode([("a", 0, 0, 0, 4.0, True)], batch_size_by_kind=[5]).play(0.0)
     node = run.session.router
     for short_first in (True, False):
-        node.endpoints["a"].rate_limiter.due = 0.0
+        node.endpoints["a"].rate_limiter.next_slot_at = 0.0
         events = [
             node.add_event(0.0, 0, 0, left if short_first == number else 9000.0) for number in (True, False)
         ]
@@ -171,7 +171,7 @@
             first,
             second,
         ]
-        node.endpoints["a"].rate_limiter.ride = (None, -math.inf, 0)
+        node.endpoints["a"].rate_limiter.shared_call = (None, -math.inf, 0)
 
 
 def test_a_process_that_stood_still_does_not_send_what_is_past_its_window(tmp_path):
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -198,7 +198,9 @@
     """At each turn of a random day, a copy of module and events is asked the old way."""
     monkeypatch.setattr(pending_queues, "RESORT_MS", -1.0)
     monkeypatch.setattr(pending_queues, "RESORT_MS_EACH", 0.0)
-    monkeypatch.setattr(router, "SHUN_MS", 0.0)  # the end of a shun wakes nobody; it never did
+    monkeypatch.setattr(
+        router, "STREAM_TYPE_EJECTION_MS", 0.0
+    )  # the end of a shun wakes nobody; it never did
     rng = random.Random(seed)
     made = module(
         4,
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -183,7 +183,7 @@
     pauses = []
     for _ in range(500):
         run.session.router.list_request_failed(0.0)
-        pauses.append(run.session.router.listing_at)
+        pauses.append(run.session.router.next_list_request_at)
     assert limits.WATCH_QUIET_MS > 4000.0 and limits.WATCH_QUIET_MS + max(pauses) < 5200.0
 
 
@@ -195,13 +195,13 @@
     node.apply_endpoint_list([("a", 0, 0, first, 4.0, True)], True, 0.0)
     event = node.add_event(0.0, 0, 0, 9000.0)
     old = node.decide(event, 0.0).endpoint
-    node._told(old.rate_limiter, 3000.0)
+    node._apply_retry_after(old.rate_limiter, 3000.0)
     node.apply_endpoint_list([("a", 0, 0, then, 4.0, True)], False, 10.0)
     new = node.endpoints["a"]
     assert (
         new is not old
         and (new.has_separate_route, new.batch_size) == (then == 1, 1 if then else 5)
-        and new.rate_limiter.blocked == 3000.0
+        and new.rate_limiter.retry_after_until == 3000.0
     )
     assert node.send_deadline(event, old, 3500.0) == -math.inf
     node.record_outcome(event, SendOutcome.TIMED_OUT, 3600.0, 3600.0)
