--- a/swiftthread/routing/events.py
+++ b/swiftthread/routing/events.py
@@ -1,55 +1,62 @@
 """State of events, calls and destinations in the router."""
 
+from __future__ import annotations
 
-class Event:
-    """An event in hand. The ticket is the door's; all else is kept by the decisions."""
-
-    __slots__ = (
-        "handle",
-        "stream_type",
-        "destination",
-        "ordering_key",
-        "priority_weight",
-        "latency_objective_at",
-        "expires_at",
-        "check_at",
-        "waits_for_outcome",
-        "attempts",
-        "endpoint",
-        "call",
-        "sent_at",
-        "sent_group",
-        "may_have_run_at",
-        "may_have_run_group",
-        "is_finished",
-    )
-
-    def __init__(self, stream_type, destination, subject, now, left, weight):
-        self.stream_type, self.destination, self.ordering_key, self.priority_weight = (
-            stream_type,
-            destination,
-            subject,
-            weight,
-        )
-        self.expires_at = now + left
-        self.latency_objective_at = (
-            self.expires_at - stream_type.max_age_ms + stream_type.latency_objective_ms
-        )
-        self.check_at, self.waits_for_outcome, self.attempts, self.is_finished = now, False, 0, False
-        self.endpoint = self.call = self.sent_at = self.sent_group = self.may_have_run_at = (
-            self.may_have_run_group
-        ) = None
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any
+
+from swiftthread.routing.settings import StreamType
+
+if TYPE_CHECKING:
+    from swiftthread.routing.endpoint import Endpoint
+    from swiftthread.routing.rate_limiter import RateLimiter
 
 
+@dataclass(slots=True, eq=False)
 class Destination:
-    """A destination, its endpoints in this node's order, and how many events are held for it."""
+    """A destination, its ready endpoints in this node's order, and how many events are pending for it."""
 
-    def __init__(self, number):
-        self.number, self.endpoints, self.rate_limiter, self.pending_count = number, [], None, 0
+    number: int
+    endpoints: list[Endpoint] = field(default_factory=list)
+    rate_limiter: RateLimiter | None = None
+    """The limiter of the first endpoint; shared by all endpoints without a route of their own."""
+    pending_count: int = 0
 
 
+@dataclass(slots=True, eq=False)
 class Call:
-    """One call out, with the events that travel in it; it ends with the last of their outcomes."""
+    """One call to an endpoint, with the events that travel in it; it ends with the last of their outcomes."""
 
-    def __init__(self, endpoint):
-        self.endpoint, self.unresolved_count, self.is_recorded = endpoint, 0, False
+    endpoint: Endpoint
+    unresolved_count: int = 0
+    is_recorded: bool = False
+    """Whether an outcome of it has been counted for the endpoint."""
+
+
+@dataclass(slots=True, eq=False)
+class Event:
+    """A pending event as the router sees it. Moments are in ms on the caller's clock."""
+
+    stream_type: StreamType
+    destination: Destination
+    ordering_key: Any
+    """Events of one key are sent in the order they came; a false value is no key."""
+    priority_weight: float
+    latency_objective_at: float
+    expires_at: float
+    check_at: float
+    """When to decide again."""
+    waits_for_outcome: bool = False
+    """Whether to decide again also as soon as any attempt of this node ends."""
+    attempts: int = 0
+    is_finished: bool = False
+    handle: Any = None
+    """The caller's own reference; the router does not read it."""
+    call: Call | None = None
+    endpoint: Endpoint | None = None
+    sent_at: float | None = None
+    sent_group: Any = None
+    may_have_run_at: float | None = None
+    """When the first attempt was sent that may have had an effect."""
+    may_have_run_group: Any = None
+    """The deduplication group of that attempt."""
--- a/swiftthread/routing/messages.py
+++ b/swiftthread/routing/messages.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from swiftthread.routing.router import Endpoint
+    from swiftthread.routing.endpoint import Endpoint
 
 
 class SendOutcome(StrEnum):
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -8,47 +8,27 @@
 for once a turn. The design, what was kept and changed: docs/design.md.
 """
 
-import hashlib
 import math
-import random
 from collections import deque
 
+from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.events import Call, Destination, Event
+from swiftthread.routing.jitter import Jitter
 from swiftthread.routing.messages import NEVER_RAN, Abandon, Defer, NextCheck, Reject, Send, SendOutcome
+from swiftthread.routing.rate_limiter import (
+    ASSUMED_RATE_PER_MS,
+    CALL_COST,
+    MIN_RATE_PER_MS,
+    SHARED_EVENT_COST,
+    FleetSharing,
+    RateLimiter,
+)
 from swiftthread.routing.settings import Effect, Settings
-from swiftthread.routing.statistics import RecentCount, SlidingMedian, SmoothedRate
 
-# Constants. Those marked "page" are the design page's, the rest are ours.
-GROWTH_SHARE_PER_S = 0.08  # x first rate each second: clean growth past the level; slow beside a halving
-UNLISTED_GROWTH_MS, MAX_UNLISTED_GROWTH = (
-    2000.0,
-    8.0,
-)  # ms since a cut for x1 of its growth, and most; 2 to 2,000/s in 20 s
-MAX_LISTED_MULTIPLE = 1.5  # x listed: no node needs more than all of it, and the list may be somewhat low
-CUT_FACTOR = 0.5  # page: a refusal, an error run or risen latency halves the rate
-TARGET_KEPT = 0.9  # x level: what a refusal leaves of the level that clean seconds lead back to
-ADJUSTMENT_MS = 1000.0  # page: a clean second doubles the rate; also the least time between two cuts
-ROUGH_LIST_CONFIDENCE = 0.7  # of a roughly listed rate: it may be up to half too high
-MIN_RATE_PER_MS = 0.001  # calls per ms, page: an unpaced key's first cut never goes under one a second
-BURST_TOLERANCE = 0.3  # intervals: little burst tolerance, one call early
-SLOT_SLACK_MS = 20.0  # ms past its moment in which a slot counts as kept; a few turns of the caller
-SHARED_EVENT_COST = 0.05  # of an interval: what one more event in a call costs; it is work, not a call
 LONE_FAILURE_MS = 1000.0  # ms without an ack after which one unanswered or unreached call tells of an outage
 MAX_CONSECUTIVE_FAILURES = 3  # calls failing in a row, none between: an error run; two can be chance
-LATENCY_SAMPLES, LATENCY_RISE_FACTOR = (
-    24,
-    2.0,
-)  # latencies for a median, at a cv of 1.4; page: risen is over this many times its low
-MIN_LATENCY_RISE_MS = (
-    40.0  # ms: a rise by less harms no SLO time; calls that leave together wait for each other
-)
-INITIAL_LATENCY_MS = 350.0  # ms: latency assumed before the first was seen
 MAX_FAILURE_RATIO = 0.6  # share of failed calls, smoothed, from which a sink counts as failing
 SMOOTHING_WEIGHT = 0.15  # weight of the newest call in that share; about the last dozen calls
-MIN_SILENCE_MS, SILENCE_LATENCIES = (
-    700.0,
-    4.0,
-)  # ms, x usual latency: no outcome for both is quiet; over a brief stall
 MIN_TRIAL_PAUSE_MS = 300.0  # ms: least pause before a failing sink is tried; a few round trips
 BASE_TIMEOUT_MS, TIMEOUT_LATENCIES, MAX_TIMEOUT_MS = (
     1200.0,
@@ -56,15 +36,12 @@
     6000.0,
 )  # ms + x usual latency, at most; a long tail's p99
 TIMEOUT_SHARE = 0.6  # of the repeat window or the rest of the max age, so that another send fits inside
-USUAL_RATE_SPAN_MS = 10000.0  # ms: span of the smoothed rate of acked calls, this node's usual part of a key
-BUSY_SPAN_SHARE = 0.33  # of the SLO time (mean by utility): nodes with an event in it share a key's rate
 PROMPT_CONNECT_SHARE = 0.5  # of the time for a connect: one that fails sooner was refused, not unanswered
 FULL_TABLE_MS = 20000.0  # ms for which a refused connect says that the endpoint's table is short of room
 MIN_CONNECTION_USE, MIN_CONNECTION_USE_MS = (
     0.2,
     50.0,
 )  # share of the time from which a connection is kept: in use, or being made anew
-LIMIT_FALL_RATIO = 0.6  # of the limit held true: a told limit below that is a fall, not noise
 SHUT_AFTER_MS, MAX_CONSECUTIVE_REJECTIONS = (
     2100.0,
     1,
@@ -80,163 +57,12 @@
 MIN_ANSWER_MARGIN_MS = 12.0  # ms before a bound at which the event is answered; two turns of the caller
 
 
-class RateLimiter:
-    """One due moment: a destination, or a route where routes are kept apart."""
-
-    def __init__(self, listed, nodes, sure, busy, longest):
-        self.next_slot_at = self.retry_after_until = self.rate_changed_at = self.rate_cut_at = (
-            self.demand_at
-        ) = -math.inf
-        self.rate_as_listed = self.busy_share = self.equal_share = self.waiting_share = self.listed_rate = (
-            None
-        )
-        self.busy_span_ms, self.listed_rate_confidence = (
-            busy,
-            sure,
-        )  # ms in which nodes share the rate; trust in the list
-        self.longest_wait_ms = longest  # ms for which an event may wait here
-        if listed:
-            self.set_listed_rate(listed, nodes, sure)
-        self.rate = self.target_rate = self.busy_share  # None: unpaced until the first cut
-        self.recent_acks, self.usual_rate = RecentCount(ADJUSTMENT_MS), SmoothedRate(USUAL_RATE_SPAN_MS)
-        self.recent_latency_ms, self.lowest_latency_ms = (
-            SlidingMedian(LATENCY_SAMPLES, INITIAL_LATENCY_MS),
-            None,
-        )
-        self.consecutive_failures, self.spare_share, self.has_acked_since_cut = (
-            0,
-            1.0,
-            True,
-        )  # served: an ack since the last cut
-        self.shared_call = (None, -math.inf, 0)  # call that others may join this turn
-        self.rate_before_outage, self.outage_began_at = (
-            0.0,
-            -math.inf,
-        )  # usual acked calls per ms at its last outage; its beginning
-        self.next_cold_slot_at = -math.inf  # the next cold send
-
-    def set_listed_rate(self, listed, nodes, sure):
-        """Calls per ms; a node's part among all (`fair`), those busy (`even`), those that wait (`crowd`)."""
-        self.listed_rate, self.equal_share, self.listed_rate_confidence = listed, listed / nodes, sure
-        self.busy_share, self.waiting_share = (
-            self.share_among_nodes(self.busy_span_ms, nodes),
-            self.share_among_nodes(self.longest_wait_ms, nodes),
-        )
-
-    def share_among_nodes(self, span, nodes):
-        """The rate by the nodes that can be expected to have an event here within a span, at the limit."""
-        return self.listed_rate / max(1.0, nodes * -math.expm1(-self.listed_rate * span / nodes))
-
-    def ready_at(self):
-        return max(
-            self.next_slot_at - (BURST_TOLERANCE / self.target_rate if self.rate else 0.0),
-            self.retry_after_until,
-        )
-
-    def book(self, now, cost):
-        if self.rate:
-            slot = (
-                self.next_slot_at
-                if 0 <= now - self.next_slot_at <= SLOT_SLACK_MS
-                else max(now, self.next_slot_at)
-            )
-            self.next_slot_at = slot + cost / self.rate
-
-    def cut(self, now, refused):
-        if now - self.rate_changed_at < ADJUSTMENT_MS:
-            return
-        if self.rate is None:
-            self.rate = self.target_rate = max(
-                MIN_RATE_PER_MS / CUT_FACTOR, self.recent_acks.count(now) / ADJUSTMENT_MS
-            )
-            self.next_slot_at = now + 1.0 / self.rate  # nothing was booked while it was unpaced
-        # Refusals lead to the even part, not below, unless nothing was served since: then the list is wrong.
-        due = (
-            self.equal_share * self.listed_rate_confidence
-            if self.busy_share and self.has_acked_since_cut
-            else MIN_RATE_PER_MS / 4
-        )
-        if refused:
-            self.target_rate = max(min(self.target_rate, max(self.rate, due)) * TARGET_KEPT, due)
-        rate, self.rate, self.rate_changed_at, self.rate_cut_at = (
-            self.rate,
-            max(self.rate * CUT_FACTOR, due * CUT_FACTOR),
-            now,
-            now,
-        )
-        self.has_acked_since_cut = False
-        self.next_slot_at = (
-            max(now, self.next_slot_at) + 1.0 / self.rate - 1.0 / rate
-        )  # what was booked is booked anew
-
-    def record_ack(self, now, latency, slow_everywhere):
-        self.consecutive_failures, self.has_acked_since_cut = 0, True
-        self.usual_rate.add(now)
-        self.recent_acks.add(now)
-        if self.recent_latency_ms.add(latency):
-            self.lowest_latency_ms = min(
-                self.recent_latency_ms.value,
-                self.lowest_latency_ms * 1.03 if self.lowest_latency_ms else self.recent_latency_ms.value,
-            )
-            # Guards against a rise seen everywhere at once: that is not this destination's overload.
-            if self.latency_has_risen() and not slow_everywhere():
-                self.cut(now, False)
-        if self.rate is not None and self.rate < self.target_rate:
-            if now - self.rate_changed_at >= ADJUSTMENT_MS:
-                self.rate, self.rate_changed_at = min(self.target_rate, self.rate / CUT_FACTOR), now
-        elif self.rate is not None and now - self.demand_at < ADJUSTMENT_MS:
-            # Nobody knows an unlisted rate: it grows by a share of itself, faster the longer nothing was cut.
-            part = self.busy_share or self.target_rate * min(
-                MAX_UNLISTED_GROWTH, (now - self.rate_cut_at) / UNLISTED_GROWTH_MS
-            )
-            step = GROWTH_SHARE_PER_S * self.spare_share * part / (self.rate * 1000.0)
-            most = MAX_LISTED_MULTIPLE * (self.listed_rate or math.inf)
-            self.rate = self.target_rate = max(self.rate, min(self.rate + step, most))
-
-    def silence_threshold_ms(self):
-        """Ms without an outcome after which calls out are more than slow."""
-        return max(MIN_SILENCE_MS, SILENCE_LATENCIES * self.recent_latency_ms.value)
-
-    def latency_has_risen(self):
-        return self.lowest_latency_ms is not None and self.recent_latency_ms.value > max(
-            LATENCY_RISE_FACTOR * self.lowest_latency_ms, self.lowest_latency_ms + MIN_LATENCY_RISE_MS
-        )
-
-
-class Endpoint:
-    """One endpoint of a destination, and how this node finds it."""
-
-    def __init__(self, ident, zone, destination, position):
-        self.endpoint_id, self.zone, self.destination = ident, zone, destination
-        # Each node ranks for itself: by one ranking many nodes of little traffic would all take the same.
-        self.rank = hashlib.blake2b(
-            f"{destination.number}/{ident}/{position}".encode(), digest_size=8
-        ).digest()
-        self.rate_limiter, self.is_ready, self.batch_size, self.carriage_cost = None, False, 1, 0.0
-        self.calls_in_flight, self.last_outcome_at, self.failure_ratio, self.consecutive_failures = (
-            0,
-            -math.inf,
-            0.0,
-            0,
-        )
-        self.is_down, self.is_silent, self.has_probe_in_flight, self.has_passed_probe = (
-            False,
-            False,
-            False,
-            False,
-        )
-        self.failing_since, self.failed_at, self.acked_at = 0.0, -math.inf, -math.inf
-        self.warming_since, self.table_full_at = -math.inf, -math.inf
-        self.retry_at = -math.inf  # after a full table; an unpaced key has no other pause
-        self.ejected_until_by_stream_type = {}  # one entry a stream type, emptied by an ack
-
-
 class Router:
     """The decisions of one delivery node."""
 
     def __init__(self, settings: Settings, seed: int):
         self.settings = settings
-        self.random_uniform = random.Random(seed).uniform
+        self.jitter = Jitter(seed)
         self.stream_types, self.node_count, self.node_position = (
             list(settings.stream_types),
             max(1, settings.node_count),
@@ -248,18 +74,11 @@
             settings.max_attempts,
         )
         utility = sum(s.priority_weight for s in self.stream_types)
-        self.busy_span_ms = (
-            BUSY_SPAN_SHARE
-            * sum(s.priority_weight * s.latency_objective_ms for s in self.stream_types)
-            / utility
-            if utility
-            else 1000.0
-        )
+        self.sharing = FleetSharing.from_settings(settings)
         self.carriage_costs = [
             fee * utility / max(1, len(self.stream_types)) for fee in settings.carriage_cost_by_zone
         ]  # utility units
         self.has_rates = settings.listed_rates in ("nominal", "rough")
-        self.longest_wait_ms = max([s.max_age_ms for s in self.stream_types] or [1e3])
         self.quotas = [
             [1000.0 * self.node_count / q if q else 0.0, 0.0] for q in settings.quotas
         ]  # [interval, due]
@@ -269,7 +88,6 @@
         # Asked within this time, a node does not count as told of what it has not heard.
         most = settings.poll_within_ms / (1 + BACKOFF_SPREAD) if settings.polls_discovery else 0.0
         self.list_backoff_ms, self.list_backoff_bounds_ms = first, (first, max(first, most))
-        self.listed_rate_confidence = ROUGH_LIST_CONFIDENCE if settings.listed_rates == "rough" else 1.0
         self.warm_up_ms, self.answer_margin_ms = (
             max(1.0, settings.warm_up_ms),
             max(MIN_ANSWER_MARGIN_MS, 2 * settings.tick_ms),
@@ -288,19 +106,30 @@
             0,
         )
 
+    @property
+    def random_uniform(self):
+        """The source of all random draws of this router."""
+        return self.jitter.uniform
+
+    @random_uniform.setter
+    def random_uniform(self, uniform):
+        self.jitter.uniform = uniform
+
     def add_event(self, now, stream_type_number, destination_number, left, tenant=None, subject=0):
         """Hold an event. `tenant`: its place among the quotas; None is none of them."""
         stream_type, destination = (
             self.stream_types[stream_type_number],
             self.destinations.setdefault(destination_number, Destination(destination_number)),
         )
+        expires_at = now + left
         event = Event(
-            stream_type,
-            destination,
-            subject * stream_type.is_ordered,
-            now,
-            left,
-            self._weight_in_quota(stream_type, tenant, now),
+            stream_type=stream_type,
+            destination=destination,
+            ordering_key=subject if stream_type.is_ordered else 0,
+            priority_weight=self._weight_in_quota(stream_type, tenant, now),
+            latency_objective_at=expires_at - stream_type.max_age_ms + stream_type.latency_objective_ms,
+            expires_at=expires_at,
+            check_at=now,
         )
         destination.pending_count += 1
         self.pending_count += 1
@@ -341,33 +170,20 @@
                 blocked = old.rate_limiter.retry_after_until if old.destination is destination else blocked
             if ident not in self.endpoints and not ready:
                 continue
-            if ident not in self.endpoints:
-                self.endpoints[ident] = Endpoint(ident, zone, destination, self.node_position)
-            endpoint = self.endpoints[ident]
-            named.add(ident)
             listed = rate / 1000.0 if self.has_rates and rate > 0 else None
-            if endpoint.rate_limiter is None:
+            if ident in self.endpoints:
+                endpoint = self.endpoints[ident]
+                endpoint.rate_limiter.update_from_list(listed)
+            else:
+                endpoint = self.endpoints[ident] = Endpoint(ident, zone, destination, self.node_position)
                 fresh = apart or not destination.rate_limiter
                 endpoint.rate_limiter = (
-                    RateLimiter(
-                        listed,
-                        self.node_count,
-                        self.listed_rate_confidence,
-                        self.busy_span_ms,
-                        self.longest_wait_ms,
-                    )
-                    if fresh
-                    else destination.rate_limiter
+                    RateLimiter(listed, self.sharing) if fresh else destination.rate_limiter
                 )
                 destination.rate_limiter = destination.rate_limiter or endpoint.rate_limiter
-            elif listed and listed != endpoint.rate_limiter.rate_as_listed:
-                endpoint.rate_limiter.set_listed_rate(listed, self.node_count, self.listed_rate_confidence)
-            endpoint.rate_limiter.rate_as_listed = (
-                listed or endpoint.rate_limiter.rate_as_listed
-            )  # as the list names it, not as reports correct it
-            endpoint.rate_limiter.retry_after_until = max(
-                endpoint.rate_limiter.retry_after_until, blocked
-            )  # a told wait outlasts the change
+                endpoint.rate_limiter.remember_listed_rate(listed)
+            named.add(ident)
+            endpoint.rate_limiter.extend_retry_after(blocked)  # a told wait outlasts the change
             endpoint.has_separate_route, endpoint.is_ready, endpoint.zone = (
                 apart,
                 ready,
@@ -429,7 +245,7 @@
 
     def ranking_horizon_ms(self, destination, now):
         """Ms by which the events of a destination are ranked: what its whole queue takes."""
-        return min(self.longest_wait_ms, max(1000.0, self.queue_drain_time_ms(destination, now)))
+        return min(self.sharing.longest_wait_ms, max(1000.0, self.queue_drain_time_ms(destination, now)))
 
     def urgency_rank(self, event, span, now):
         """Events of lower rank are asked for first."""
@@ -450,10 +266,7 @@
 
     def has_joinable_call(self, destination, now):
         """Whether a call of this turn takes others with it, though maybe not each event."""
-        return any(
-            endpoint.rate_limiter.shared_call[1] == now and endpoint.rate_limiter.shared_call[2] > 0
-            for endpoint in destination.endpoints
-        )
+        return any(endpoint.rate_limiter.has_joinable_call(now) for endpoint in destination.endpoints)
 
     def find_destination(self, number):
         """The destination of this number, or None while no list has named it."""
@@ -528,18 +341,12 @@
                 endpoint.calls_in_flight - 1,
                 True,
             )
-            if (
-                outcome in (SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT)
-                and not call.is_recorded
-                and endpoint.rate_limiter.rate
-            ):
-                endpoint.rate_limiter.next_slot_at -= (
-                    1.0 / endpoint.rate_limiter.rate
-                )  # nobody was called: its slot is the next one's
+            if outcome in (SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT) and not call.is_recorded:
+                endpoint.rate_limiter.give_back_slot()  # nobody was called: its slot is the next one's
         if (
             retry_after_ms > 0 and outcome != SendOutcome.NOT_EXECUTED
         ):  # each event of a call may be told a wait of its own
-            self._apply_retry_after(endpoint.rate_limiter, now + retry_after_ms + 1.0)
+            endpoint.rate_limiter.apply_retry_after(now + retry_after_ms + 1.0, self.random_uniform)
             if (
                 outcome == SendOutcome.RATE_LIMITED
                 and retry_after_ms > SHUT_AFTER_MS
@@ -693,12 +500,8 @@
         for endpoint in event.destination.endpoints:
             if not self._may_go_to(event, endpoint):
                 continue
-            call, at, left = endpoint.rate_limiter.shared_call
-            if (
-                at == now
-                and left > 0
-                and call.endpoint is endpoint
-                and self._may_share_call(event, endpoint, now)
+            if endpoint.rate_limiter.has_joinable_call_to(endpoint, now) and self._may_share_call(
+                event, endpoint, now
             ):
                 return endpoint, now, True
             rows.append((endpoint, self._available_at(endpoint, now)))
@@ -734,20 +537,20 @@
             best = max(rows, key=worth)
             if best[1] > now:
                 if best[1] < math.inf and best[1] > best[0].rate_limiter.retry_after_until:
-                    best[0].rate_limiter.demand_at = now
+                    best[0].rate_limiter.note_demand(now)
                 return None, min(moment for _, moment in rows if moment > now), False
             return best[0], now, False
         ready, soonest = [s for s, moment in rows if moment <= now], min(moment for _, moment in rows)
         if not ready:
             if soonest < math.inf:
-                event.destination.rate_limiter.demand_at = now
+                event.destination.rate_limiter.note_demand(now)
             return None, soonest, False
         tried = min((s.consecutive_failures for s in ready if s.is_down), default=0)
         ready = [s for s in ready if not s.is_down or s.consecutive_failures == tried]
         # The first in rank has enough with its part of the calls that the key keeps busy.
         enough = max(
             1.0,
-            (event.destination.rate_limiter.rate or 0.004)
+            (event.destination.rate_limiter.rate or ASSUMED_RATE_PER_MS)
             * event.destination.rate_limiter.recent_latency_ms.value
             / len(event.destination.endpoints),
         )
@@ -789,12 +592,11 @@
     def _send(self, event, endpoint, joins, now):
         key = endpoint.rate_limiter
         if joins:
-            call, cost = key.shared_call[0], SHARED_EVENT_COST
-            key.shared_call = (call, now, key.shared_call[2] - 1)
+            call, cost = key.join_shared_call(), SHARED_EVENT_COST
         else:
-            call, cost = Call(endpoint), 1.0
+            call, cost = Call(endpoint), CALL_COST
             alone = endpoint.is_down or not self._may_share_call(event, endpoint, now)
-            key.shared_call = (call, now, 0 if alone else endpoint.batch_size - 1)
+            key.offer_shared_call(call, now, 0 if alone else endpoint.batch_size - 1)
             self.calls_in_flight += 1
             endpoint.last_outcome_at = endpoint.last_outcome_at if endpoint.calls_in_flight else now
             endpoint.calls_in_flight += 1
@@ -819,12 +621,8 @@
         present = self.settings.cold_capacity_share + (
             0.0 if endpoint.is_down else growth * (now - endpoint.warming_since)
         )
-        busy = max(key.busy_span_ms, now - key.outage_began_at)
-        share = (
-            key.share_among_nodes(busy, self.node_count)
-            if key.listed_rate
-            else key.rate_before_outage or MIN_RATE_PER_MS
-        )
+        busy = max(key.sharing.busy_span_ms, now - key.outage_began_at)
+        share = key.share_among_nodes(busy) if key.listed_rate else key.rate_before_outage or MIN_RATE_PER_MS
         pause = 2.0 / (
             self.settings.overload_multiple * (key.rate_before_outage + key.listed_rate_confidence * share)
         )  # were it warm
@@ -867,16 +665,7 @@
     def _record_health(self, endpoint, outcome, now, latency, report):
         key = endpoint.rate_limiter
         if report:
-            limit = report.limit_per_s / 1000.0
-            key.spare_share = report.spare_share if limit > 0 else 1.0
-            if limit > 0 and key.listed_rate:  # it replaces the listed rate: noise smoothed, a fall at once
-                fresh = key.listed_rate_confidence < 1.0 or limit < LIMIT_FALL_RATIO * key.listed_rate
-                key.set_listed_rate(
-                    key.listed_rate + (limit - key.listed_rate) * (1.0 if fresh else SMOOTHING_WEIGHT),
-                    self.node_count,
-                    1.0,
-                )
-                key.rate = min(key.rate or math.inf, key.listed_rate)
+            key.apply_load_report(report)
         if outcome in (SendOutcome.CANCELLED, SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT):
             return
         endpoint.last_outcome_at = now
@@ -907,7 +696,7 @@
             key.record_ack(now, latency, self._slow_everywhere)
             return
         if outcome == SendOutcome.RATE_LIMITED and not endpoint.is_down:
-            key.cut(now, True)
+            key.reduce_rate(now, True)
         elif outcome != SendOutcome.RATE_LIMITED:
             # A connect that fails at once, maybe while others are answered, can be a full connection table.
             if outcome == SendOutcome.UNREACHABLE and latency < self.prompt_connect_ms:
@@ -945,7 +734,7 @@
             # The last: a node of little traffic may see one call fail in all of an outage, and counts.
             self._mark_down(endpoint, now, outcome == SendOutcome.RATE_LIMITED)
         elif key.consecutive_failures >= MAX_CONSECUTIVE_FAILURES and outcome != SendOutcome.RATE_LIMITED:
-            key.cut(now, False)
+            key.reduce_rate(now, False)
 
     def _mark_down(self, endpoint, now, shut):
         """Guards against an outage of the whole destination of which this node sees little: endpoints beside
@@ -957,9 +746,9 @@
         beside = [s for s in endpoint.destination.endpoints if s.rate_limiter is key and s is not endpoint]
         if not any(s.is_down or now - s.warming_since < self.warm_up_ms for s in [endpoint, *beside]):
             # It may have begun any time since the last ack, and it does not lessen the usual part.
-            key.outage_began_at = max(now - self.warm_up_ms, *(s.acked_at for s in [endpoint, *beside]))
-            key.rate_before_outage = key.usual_rate.at(
-                endpoint.failing_since if endpoint.consecutive_failures else now
+            key.begin_outage(
+                max(now - self.warm_up_ms, *(s.acked_at for s in [endpoint, *beside])),
+                endpoint.failing_since if endpoint.consecutive_failures else now,
             )
         for other in beside:
             if shut or other.acked_at < now - self.warm_up_ms / 2:
@@ -969,18 +758,6 @@
         pause = self._recovery_pause_ms(endpoint, now) * self.random_uniform(0.0, 1.0)
         key.next_cold_slot_at = max(now, key.retry_after_until) + max(MIN_TRIAL_PAUSE_MS, pause)
 
-    def _apply_retry_after(self, key, until):
-        """The page: a told wait blocks the key to its end, and the due moment restarts there."""
-        if until > key.retry_after_until:
-            key.retry_after_until = until
-            if key.busy_share and key.rate:
-                # All that were told come back together, and refused calls may use up the limit: its part
-                # among those that can have an event waiting here.
-                key.rate = min(key.rate, key.waiting_share * key.listed_rate_confidence)
-            key.next_slot_at = max(
-                key.next_slot_at, until + self.random_uniform(0.0, 1.0) / (key.rate or 0.004)
-            )
-
     def _slow_everywhere(self):
         known = [
             key
--- a/tests/routing/test_overload.py
+++ b/tests/routing/test_overload.py
@@ -30,7 +30,7 @@
     key = node.endpoints[ROUTE].rate_limiter
     first = key.rate
     assert key.equal_share <= key.waiting_share < first
-    node._apply_retry_after(key, 500.0)
+    key.apply_retry_after(500.0, node.random_uniform)
     assert key.rate == key.waiting_share
     for moment in range(1600, 8000, 400):
         key.record_ack(float(moment), 100.0, lambda: False)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -56,7 +56,7 @@
     node = run.session.router
     event, endpoint = node.add_event(0.0, 0, 0, 4000.0), node.endpoints["a"]
     assert node.send_deadline(event, endpoint, 10.0) == 3988.0
-    node._apply_retry_after(endpoint.rate_limiter, 500.0)
+    endpoint.rate_limiter.apply_retry_after(500.0, node.random_uniform)
     assert (
         node.send_deadline(event, endpoint, 499.0) == -math.inf < node.send_deadline(event, endpoint, 500.0)
     )
@@ -171,7 +171,7 @@
             first,
             second,
         ]
-        node.endpoints["a"].rate_limiter.shared_call = (None, -math.inf, 0)
+        node.endpoints["a"].rate_limiter.shared_call = None
 
 
 def test_a_process_that_stood_still_does_not_send_what_is_past_its_window(tmp_path):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,8 +16,8 @@
 from support.fake_servers import FakeDiscovery, FakeEndpoint
 from support.node_process import NodeProcess, until
 
+from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.events import Destination
-from swiftthread.routing.router import Endpoint
 from swiftthread.storage.records import record
 
 REFUSED = (429, [("Retry-After", "0.6")], b"")
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -19,9 +19,9 @@
 from swiftthread.client.endpoint_client import EndpointClient
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection_pool import ConnectionPool
+from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.events import Destination
 from swiftthread.routing.messages import SendOutcome
-from swiftthread.routing.router import Endpoint
 from swiftthread.service import limits
 
 ROW = {
@@ -195,7 +195,7 @@
     node.apply_endpoint_list([("a", 0, 0, first, 4.0, True)], True, 0.0)
     event = node.add_event(0.0, 0, 0, 9000.0)
     old = node.decide(event, 0.0).endpoint
-    node._apply_retry_after(old.rate_limiter, 3000.0)
+    old.rate_limiter.apply_retry_after(3000.0, node.random_uniform)
     node.apply_endpoint_list([("a", 0, 0, then, 4.0, True)], False, 10.0)
     new = node.endpoints["a"]
     assert (
