--- a/swiftthread/routing/messages.py
+++ b/swiftthread/routing/messages.py
@@ -42,6 +42,10 @@
 """Outcomes after which the event surely had no effect."""
 
 
+UNRELATED_TO_HEALTH = (SendOutcome.CANCELLED, SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT)
+"""Outcomes that say nothing of the endpoint."""
+
+
 class Send(NamedTuple):
     """Send the event to this endpoint, and stop waiting after `timeout_ms`."""
 
--- a/swiftthread/routing/rate_limiter.py
+++ b/swiftthread/routing/rate_limiter.py
@@ -331,6 +331,10 @@
             self._compare_latency(now, is_slow_everywhere)
         self._grow_rate(now)
 
+    def record_failure(self) -> None:
+        """Count a failed call, whichever endpoint failed it."""
+        self.consecutive_failures += 1
+
     def _compare_latency(self, now: float, is_slow_everywhere: Callable[[], bool]) -> None:
         median_ms = self.recent_latency_ms.value
         lowest_ms = self.lowest_latency_ms
--- /dev/null
+++ b/swiftthread/routing/recovery.py
@@ -0,0 +1,78 @@
+"""The recovery ramp: the pace of trials, probes and calls while a destination is out or warming up."""
+
+from __future__ import annotations
+
+import math
+
+from swiftthread.routing.endpoint import Endpoint
+from swiftthread.routing.jitter import Jitter
+from swiftthread.routing.rate_limiter import MIN_RATE_PER_MS
+from swiftthread.routing.settings import Settings
+
+# Either way of 1, the random factor of each pause: nodes must not stay in step.
+PAUSE_SPREAD = 0.2
+
+
+class RecoveryRamp:
+    """This node's part of the calls that a destination withstands while it is cold."""
+
+    def __init__(self, settings: Settings, jitter: Jitter) -> None:
+        self.jitter = jitter
+        self.node_count = max(1, settings.node_count)
+        self.warm_up_ms = max(1.0, settings.warm_up_ms)
+        self.cold_capacity_share = settings.cold_capacity_share
+        self.overload_multiple = settings.overload_multiple
+        self.growth_per_ms = (1 - settings.cold_capacity_share) / self.warm_up_ms
+
+    def is_warming(self, endpoint: Endpoint, now: float) -> bool:
+        """Whether the endpoint came back less than a warm-up ago."""
+        return now - endpoint.warming_since < self.warm_up_ms
+
+    def warm_up_ends_at(self, endpoint: Endpoint) -> float:
+        """When the endpoint has all of its capacity again."""
+        return endpoint.warming_since + self.warm_up_ms
+
+    def book(self, endpoint: Endpoint, cost: float, now: float) -> None:
+        """Put the next cold slot off for a call, if the endpoint is down or warming up."""
+        if not endpoint.is_down and not self.is_warming(endpoint, now):
+            return
+        limiter = endpoint.rate_limiter
+        # The trial of an endpoint that has not failed itself waits for no moment, and puts none off.
+        is_free_trial = endpoint.is_down and not endpoint.has_passed_probe
+        booked_at = now if is_free_trial else max(now, limiter.next_cold_slot_at)
+        limiter.set_next_cold_slot(booked_at + cost * self.pause_ms(endpoint, now))
+
+    def pause_ms(self, endpoint: Endpoint, now: float) -> float:
+        """Ms between two calls to a cold endpoint. Draws a random factor.
+
+        Guards a destination that is out or returns cold: this node's part of the calls that it withstands,
+        for trials, probes and events: the mean of its usual share and an even one among the nodes that can
+        have met the outage. Both add up, however many nodes there are. Hurts where others leave theirs
+        unused.
+        """
+        capacity_share = self._capacity_share(endpoint, now)
+        warm_pause_ms = self._warm_pause_ms(endpoint, now)
+        factor = self.jitter.uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
+        if endpoint.is_down or not self.growth_per_ms:
+            return factor * warm_pause_ms / capacity_share
+        # Over which a share that grows with the endpoint amounts to one call.
+        growth = self.growth_per_ms
+        grown_share = math.sqrt(capacity_share**2 + 2 * growth * warm_pause_ms)
+        return factor * (grown_share - capacity_share) / growth
+
+    def _capacity_share(self, endpoint: Endpoint, now: float) -> float:
+        """Share of its capacity that the endpoint has now."""
+        if endpoint.is_down:
+            return self.cold_capacity_share
+        return self.cold_capacity_share + self.growth_per_ms * (now - endpoint.warming_since)
+
+    def _warm_pause_ms(self, endpoint: Endpoint, now: float) -> float:
+        """Ms between two calls of this node, were the endpoint warm."""
+        limiter = endpoint.rate_limiter
+        if limiter.listed_rate:
+            span_ms = max(limiter.sharing.busy_span_ms, now - limiter.outage_began_at)
+            even_share = limiter.share_among_nodes(span_ms)
+        else:
+            even_share = limiter.rate_before_outage or MIN_RATE_PER_MS
+        rate = limiter.rate_before_outage + limiter.listed_rate_confidence * even_share
+        return 2.0 / (self.overload_multiple * rate)
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -9,33 +9,38 @@
 """
 
 import math
-from collections import deque
 
+from swiftthread.routing.admission import PendingCapacity, TenantQuotas, queue_drain_time_ms
+from swiftthread.routing.call_slots import CallSlots
 from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.events import Call, Destination, Event
 from swiftthread.routing.jitter import Jitter
 from swiftthread.routing.messages import NEVER_RAN, Abandon, Defer, NextCheck, Reject, Send, SendOutcome
+from swiftthread.routing.ordering import OrderingQueues
 from swiftthread.routing.rate_limiter import (
     ASSUMED_RATE_PER_MS,
     CALL_COST,
-    MIN_RATE_PER_MS,
     SHARED_EVENT_COST,
     FleetSharing,
     RateLimiter,
 )
-from swiftthread.routing.settings import Effect, Settings
+from swiftthread.routing.recovery import RecoveryRamp
+from swiftthread.routing.retry_rules import (
+    RetryRules,
+    deduplication_group,
+    is_bound_to_group,
+    is_safe_to_reject,
+    may_go_to,
+)
+from swiftthread.routing.settings import Settings
+from swiftthread.routing.timeouts import AttemptTimeouts
+from swiftthread.routing.urgency import UrgencyRanking
 
 LONE_FAILURE_MS = 1000.0  # ms without an ack after which one unanswered or unreached call tells of an outage
 MAX_CONSECUTIVE_FAILURES = 3  # calls failing in a row, none between: an error run; two can be chance
 MAX_FAILURE_RATIO = 0.6  # share of failed calls, smoothed, from which a sink counts as failing
 SMOOTHING_WEIGHT = 0.15  # weight of the newest call in that share; about the last dozen calls
 MIN_TRIAL_PAUSE_MS = 300.0  # ms: least pause before a failing sink is tried; a few round trips
-BASE_TIMEOUT_MS, TIMEOUT_LATENCIES, MAX_TIMEOUT_MS = (
-    1200.0,
-    8.0,
-    6000.0,
-)  # ms + x usual latency, at most; a long tail's p99
-TIMEOUT_SHARE = 0.6  # of the repeat window or the rest of the max age, so that another send fits inside
 PROMPT_CONNECT_SHARE = 0.5  # of the time for a connect: one that fails sooner was refused, not unanswered
 FULL_TABLE_MS = 20000.0  # ms for which a refused connect says that the endpoint's table is short of room
 MIN_CONNECTION_USE, MIN_CONNECTION_USE_MS = (
@@ -49,12 +54,9 @@
 STREAM_TYPE_EJECTION_MS = (
     5000.0  # ms for which a stream type goes past an endpoint that failed it; some SLO times
 )
-SCARCE_SLOTS_SHARE = 0.7  # of the slots: from here no destination may take more than half of those out
 AGENT_BACKOFF_MS = 200.0  # ms, mean, before a list is asked for again of a local agent
 DISCOVERY_BACKOFF_MS = 1000.0  # the same of a discovery that all nodes share; doubled by each failure
 BACKOFF_SPREAD = 0.5  # of that pause, either way: nodes that lost their lists together must not ask together
-CAPACITY_SHARE = 0.92  # of the holding room: from here the longest queues are declined
-MIN_ANSWER_MARGIN_MS = 12.0  # ms before a bound at which the event is answered; two turns of the caller
 
 
 class Router:
@@ -63,48 +65,33 @@
     def __init__(self, settings: Settings, seed: int):
         self.settings = settings
         self.jitter = Jitter(seed)
-        self.stream_types, self.node_count, self.node_position = (
-            list(settings.stream_types),
-            max(1, settings.node_count),
-            settings.node_position,
-        )
-        self.max_calls_in_flight, self.capacity, self.max_attempts = (
-            settings.max_calls_in_flight,
-            settings.max_pending_events * CAPACITY_SHARE,
-            settings.max_attempts,
-        )
+        self.stream_types = list(settings.stream_types)
         utility = sum(s.priority_weight for s in self.stream_types)
         self.sharing = FleetSharing.from_settings(settings)
         self.carriage_costs = [
             fee * utility / max(1, len(self.stream_types)) for fee in settings.carriage_cost_by_zone
         ]  # utility units
         self.has_rates = settings.listed_rates in ("nominal", "rough")
-        self.quotas = [
-            [1000.0 * self.node_count / q if q else 0.0, 0.0] for q in settings.quotas
-        ]  # [interval, due]
-        self.max_retry_after_ms = settings.max_retry_after_ms if settings.may_send_retry_after else 0.0
         self.next_list_request_at = 0.0 if settings.polls_discovery else math.inf
         first = DISCOVERY_BACKOFF_MS if settings.polls_discovery else AGENT_BACKOFF_MS
         # Asked within this time, a node does not count as told of what it has not heard.
         most = settings.poll_within_ms / (1 + BACKOFF_SPREAD) if settings.polls_discovery else 0.0
         self.list_backoff_ms, self.list_backoff_bounds_ms = first, (first, max(first, most))
-        self.warm_up_ms, self.answer_margin_ms = (
-            max(1.0, settings.warm_up_ms),
-            max(MIN_ANSWER_MARGIN_MS, 2 * settings.tick_ms),
-        )
+        self.recovery = RecoveryRamp(settings, self.jitter)
+        self.retry_rules = RetryRules(settings)
+        self.timeouts = AttemptTimeouts(settings, self.recovery)
+        self.urgency = UrgencyRanking(settings)
+        self.slots = CallSlots(settings.max_calls_in_flight)
+        self.quotas = TenantQuotas(settings)
+        self.ordering = OrderingQueues(settings.ordering_rest_ms)
         # By number, as the list names them; endpoints leave when long gone.
         self.destinations: dict = {}
         self.endpoints: dict = {}
-        # Ordering key -> [events in order taken, rest until]; emptied when they are finished and rested.
-        self.ordering_queues: dict = {}
+        self.pending = PendingCapacity(settings, self.destinations)
         # Endpoints that are down, in the order they went; emptied by an ack or the list.
         self.down_endpoints: dict = {}
         self.newly_idle: dict = {}  # endpoints whose last call out has ended; emptied each turn
-        self.prompt_connect_ms, self.calls_in_flight, self.pending_count = (
-            PROMPT_CONNECT_SHARE * settings.connect_timeout_ms,
-            0,
-            0,
-        )
+        self.prompt_connect_ms = PROMPT_CONNECT_SHARE * settings.connect_timeout_ms
 
     @property
     def random_uniform(self):
@@ -115,6 +102,16 @@
     def random_uniform(self, uniform):
         self.jitter.uniform = uniform
 
+    @property
+    def calls_in_flight(self):
+        """How many calls have not ended."""
+        return self.slots.in_flight
+
+    @property
+    def pending_count(self):
+        """How many events are pending."""
+        return self.pending.pending_count
+
     def add_event(self, now, stream_type_number, destination_number, left, tenant=None, subject=0):
         """Hold an event. `tenant`: its place among the quotas; None is none of them."""
         stream_type, destination = (
@@ -126,29 +123,16 @@
             stream_type=stream_type,
             destination=destination,
             ordering_key=subject if stream_type.is_ordered else 0,
-            priority_weight=self._weight_in_quota(stream_type, tenant, now),
+            priority_weight=self.quotas.weight(stream_type, tenant, now),
             latency_objective_at=expires_at - stream_type.max_age_ms + stream_type.latency_objective_ms,
             expires_at=expires_at,
             check_at=now,
         )
-        destination.pending_count += 1
-        self.pending_count += 1
+        self.pending.add(destination)
         if event.ordering_key:
-            for old in [s for s, (line, rest) in self.ordering_queues.items() if not line and rest <= now]:
-                del self.ordering_queues[old]
-            self.ordering_queues.setdefault(event.ordering_key, [deque(), -math.inf])[0].append(event)
+            self.ordering.add(event, now)
         return event
 
-    def _weight_in_quota(self, stream_type, tenant, now):
-        if not self.quotas:
-            return stream_type.priority_weight
-        # Who is no tenant has no share, least of all another's: all of it is beyond one.
-        share = self.quotas[tenant] if tenant is not None and tenant < len(self.quotas) else [0.0, math.inf]
-        if share[1] > now + 2000.0:  # over its share by two seconds of it: worth little
-            return stream_type.priority_weight * self.settings.over_quota_weight
-        share[1] = max(now, share[1]) + share[0] if share[0] else 0.0
-        return stream_type.priority_weight
-
     def apply_endpoint_list(self, entries, whole, now):
         named, grown, self.list_backoff_ms = set(), {}, self.list_backoff_bounds_ms[0]
         for ident, destination_number, zone, kind, rate, ready in entries:
@@ -175,7 +159,9 @@
                 endpoint = self.endpoints[ident]
                 endpoint.rate_limiter.update_from_list(listed)
             else:
-                endpoint = self.endpoints[ident] = Endpoint(ident, zone, destination, self.node_position)
+                endpoint = self.endpoints[ident] = Endpoint(
+                    ident, zone, destination, self.settings.node_position
+                )
                 fresh = apart or not destination.rate_limiter
                 endpoint.rate_limiter = (
                     RateLimiter(listed, self.sharing) if fresh else destination.rate_limiter
@@ -205,7 +191,8 @@
             self._remove(endpoint)
             # One that comes back under its id within an outage or a told wait must find both still known.
             known_until = max(
-                endpoint.last_outcome_at + 2 * self.warm_up_ms, endpoint.rate_limiter.retry_after_until
+                endpoint.last_outcome_at + 2 * self.recovery.warm_up_ms,
+                endpoint.rate_limiter.retry_after_until,
             )
             if not endpoint.calls_in_flight and not endpoint.has_probe_in_flight and now > known_until:
                 self.down_endpoints.pop(endpoint, None)
@@ -237,32 +224,23 @@
         self._release(event)
 
     def sort_by_urgency(self, events, now):
-        spans = {
-            destination: self.ranking_horizon_ms(destination, now)
-            for destination in dict.fromkeys(event.destination for event in events)
-        }
-        return sorted(events, key=lambda event: self.urgency_rank(event, spans[event.destination], now))
+        return self.urgency.sort(events, now)
 
     def ranking_horizon_ms(self, destination, now):
         """Ms by which the events of a destination are ranked: what its whole queue takes."""
-        return min(self.sharing.longest_wait_ms, max(1000.0, self.queue_drain_time_ms(destination, now)))
+        return self.urgency.horizon_ms(destination, now)
 
     def urgency_rank(self, event, span, now):
-        """Events of lower rank are asked for first."""
-        return -self._delay_cost(event, span, now), event.latency_objective_at
+        """Events of lower rank are decided first."""
+        return self.urgency.rank(event, span, now)
 
     def ordering_turn_at(self, event, now):
-        """When its subject's turn is this event's: `now`, later, or inf: after those before it."""
-        if not event.ordering_key:
-            return now
-        line, rest = self.ordering_queues[event.ordering_key]
-        if line[0] is not event:
-            return math.inf
-        return max(rest, now + 1.0) if rest > now and event.attempts == 0 else now
+        """When its ordering key's turn is this event's: `now`, later, or inf: after those before it."""
+        return self.ordering.turn_at(event, now)
 
     def queue_class(self, event):
         """Events of one destination for which this is equal are told the same until one is sent."""
-        return event.stream_type, event.may_have_run_group if self._is_bound_to_group(event) else None
+        return event.stream_type, event.may_have_run_group if is_bound_to_group(event) else None
 
     def has_joinable_call(self, destination, now):
         """Whether a call of this turn takes others with it, though maybe not each event."""
@@ -273,34 +251,35 @@
         return self.destinations.get(number)
 
     def next_in_order(self, ordering_key):
-        """The event whose turn it is among those of an ordering key; None when none is held."""
-        queue = self.ordering_queues.get(ordering_key)
-        return queue[0][0] if queue and queue[0] else None
+        """The event whose turn it is among those of an ordering key; None when none is pending."""
+        return self.ordering.first(ordering_key)
 
     def excess_pending(self):
-        """How many events are held beyond the capacity."""
-        return self.pending_count - int(self.capacity)
+        """How many events are pending beyond the capacity."""
+        return self.pending.excess()
 
     def has_separate_routes(self, destination):
         """Whether the endpoints of a destination have limits of their own."""
         return bool(destination.endpoints and destination.endpoints[0].has_separate_route)
 
     def all_slots_in_use(self):
-        return self.calls_in_flight >= self.max_calls_in_flight
+        """Whether no call may be made until one ends."""
+        return self.slots.are_all_in_use()
 
     def slots_are_scarce(self):
-        """Whether events may wait for a slot that a send of any destination holds."""
-        return self.calls_in_flight >= SCARCE_SLOTS_SHARE * self.max_calls_in_flight
+        """Whether events may wait for a slot that a call of any destination holds."""
+        return self.slots.are_scarce()
 
     def is_over_capacity(self):
-        return self.pending_count > self.capacity
+        """Whether more events are pending than the node means to hold."""
+        return self.pending.is_exceeded()
 
     def decide(self, event, now):
         """Send, Later, Decline or Discard."""
         if (
-            self._is_spent(event, now)
-            or self.pending_count > self.capacity
-            and self._has_longest_queue(event.destination)
+            self.retry_rules.is_spent(event, now)
+            or self.pending.is_exceeded()
+            and self.pending.has_long_queue(event.destination)
             and self.is_safe_to_reject(event)
         ):
             return self._give_up(event, now)
@@ -322,7 +301,7 @@
             event.is_finished
             or not endpoint.is_ready
             or now < endpoint.rate_limiter.retry_after_until
-            or not self._may_go_to(event, endpoint)
+            or not may_go_to(event, endpoint)
         ):
             return -math.inf
         last = self.give_up_at(event, now)
@@ -336,11 +315,8 @@
         call.unresolved_count -= 1
         event.attempts -= outcome == SendOutcome.NOT_SENT
         if call.unresolved_count == 0:
-            self.calls_in_flight, endpoint.calls_in_flight, self.newly_idle[endpoint] = (
-                self.calls_in_flight - 1,
-                endpoint.calls_in_flight - 1,
-                True,
-            )
+            self.slots.release(endpoint)
+            self.newly_idle[endpoint] = True
             if outcome in (SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT) and not call.is_recorded:
                 endpoint.rate_limiter.give_back_slot()  # nobody was called: its slot is the next one's
         if (
@@ -368,12 +344,12 @@
             if event.may_have_run_at is None:
                 event.may_have_run_at, event.may_have_run_group = event.sent_at, event.sent_group
             if event.ordering_key and outcome != SendOutcome.FAILED:
-                self.ordering_queues[event.ordering_key][1] = now + self.settings.ordering_rest_ms
+                self.ordering.rest(event.ordering_key, now)
         if is_finished or event.is_finished:
             self._release(event)
             return None
         event.check_at, event.waits_for_outcome = now, False
-        return self._give_up(event, now) if self._is_spent(event, now) else Defer()
+        return self._give_up(event, now) if self.retry_rules.is_spent(event, now) else Defer()
 
     def next_check(self, event, now):
         return NextCheck(max(now, event.check_at), event.waits_for_outcome)
@@ -389,7 +365,7 @@
         for endpoint in found:
             endpoint.has_probe_in_flight, endpoint.rate_limiter.next_cold_slot_at = (
                 True,
-                now + self._recovery_pause_ms(endpoint, now),
+                now + self.recovery.pause_ms(endpoint, now),
             )
         return found
 
@@ -445,62 +421,13 @@
         ]
         return min(m if m > now else math.inf for m in [self.next_list_request_at, *trials])
 
-    def _delay_cost(self, event, span, now):
-        """The utility a ms that waiting for the queue (`span`) would cost, once late; less while the SLO time
-        is far. Guards an overload, where the oldest first would have all of them served too late.
-        """
-        late = max(now, event.latency_objective_at)
-        lost = (self._value_at(event, late) - self._value_at(event, max(now + span, late + 1000.0))) / span
-        return lost * math.exp(
-            min(0.0, now + span - 1000.0 - event.latency_objective_at)
-            / max(200.0, event.stream_type.latency_objective_ms)
-        )
-
-    def _value_at(self, event, at):
-        stream_type, late, worth = (
-            event.stream_type,
-            max(0.0, at - event.latency_objective_at),
-            event.priority_weight * (at <= event.expires_at),
-        )
-        if self.settings.halves_late_value:
-            return worth * max(
-                stream_type.late_weight, 0.5 ** (late / max(1.0, stream_type.latency_objective_ms))
-            )
-        part = min(1.0, late / max(1.0, stream_type.max_age_ms - stream_type.latency_objective_ms))
-        return worth * (1 - (1 - stream_type.late_weight) * part)
-
-    @staticmethod
-    def deduplication_group(event, endpoint):
-        """Which endpoints know a repeat of an event sent here, by what outlasts a process: those of its zone,
-        or this one alone where the group is none of the pages'.
-        """
-        return (
-            endpoint.zone
-            if event.stream_type.deduplication_group in ("all", "zone")
-            else endpoint.endpoint_id
-        )
-
-    @staticmethod
-    def _is_bound_to_group(event):
-        return (
-            event.may_have_run_at is not None
-            and event.stream_type.effect == Effect.DEDUPLICATED
-            and event.stream_type.deduplication_group != "all"
-        )
-
-    def _may_go_to(self, event, endpoint):
-        return (
-            not self._is_bound_to_group(event)
-            or self.deduplication_group(event, endpoint) == event.may_have_run_group
-        )
-
     def _select_endpoint(self, event, now):
         """(sink, moment, joins a call): the sink to send to now, or None and when there may be one."""
         rows = []
         for endpoint in event.destination.endpoints:
-            if not self._may_go_to(event, endpoint):
+            if not may_go_to(event, endpoint):
                 continue
-            if endpoint.rate_limiter.has_joinable_call_to(endpoint, now) and self._may_share_call(
+            if endpoint.rate_limiter.has_joinable_call_to(endpoint, now) and self.timeouts.may_share_call(
                 event, endpoint, now
             ):
                 return endpoint, now, True
@@ -512,14 +439,7 @@
         ] or rows
         if not event.destination.endpoints:
             return None, now + 200.0, False
-        busy = sum(endpoint.calls_in_flight for endpoint in event.destination.endpoints)
-        if (
-            self.calls_in_flight >= self.max_calls_in_flight
-            or not rows
-            or self.calls_in_flight >= SCARCE_SLOTS_SHARE * self.max_calls_in_flight
-            and busy * 2 >= self.calls_in_flight
-        ):
-            # The last keeps a destination that hangs from taking the slots of all others before it is quiet.
+        if not rows or self.slots.are_denied_to(event.destination):
             return None, math.inf, False
         if rows[0][0].has_separate_route:
             # All that wait here wait for the slot of a better route too: the queue's length says how long.
@@ -530,9 +450,9 @@
                     else 0.0
                 )
                 start = max(row[1], now) + queue
-                return self._value_at(event, start + row[0].rate_limiter.recent_latency_ms.value) - row[
-                    0
-                ].carriage_cost, -start
+                return self.urgency.value_at(
+                    event, start + row[0].rate_limiter.recent_latency_ms.value
+                ) - row[0].carriage_cost, -start
 
             best = max(rows, key=worth)
             if best[1] > now:
@@ -586,7 +506,7 @@
         ):
             # Bookings never learn when calls end: a silent sink would take slot after slot.
             return math.inf
-        cold = now - endpoint.warming_since < self.warm_up_ms
+        cold = now - endpoint.warming_since < self.recovery.warm_up_ms
         return max(key.ready_at(), endpoint.retry_at, key.next_cold_slot_at if cold else now)
 
     def _send(self, event, endpoint, joins, now):
@@ -595,72 +515,15 @@
             call, cost = key.join_shared_call(), SHARED_EVENT_COST
         else:
             call, cost = Call(endpoint), CALL_COST
-            alone = endpoint.is_down or not self._may_share_call(event, endpoint, now)
+            alone = endpoint.is_down or not self.timeouts.may_share_call(event, endpoint, now)
             key.offer_shared_call(call, now, 0 if alone else endpoint.batch_size - 1)
-            self.calls_in_flight += 1
-            endpoint.last_outcome_at = endpoint.last_outcome_at if endpoint.calls_in_flight else now
-            endpoint.calls_in_flight += 1
+            self.slots.acquire(endpoint, now)
         key.book(now, cost)
-        if endpoint.is_down or now - endpoint.warming_since < self.warm_up_ms:
-            # The trial of an endpoint that has not failed itself waits for no moment, and puts none off.
-            booked = (
-                now if endpoint.is_down and not endpoint.has_passed_probe else max(now, key.next_cold_slot_at)
-            )
-            key.next_cold_slot_at = booked + cost * self._recovery_pause_ms(endpoint, now)
+        self.recovery.book(endpoint, cost, now)
         call.unresolved_count += 1
         event.call, event.endpoint, event.sent_at, event.attempts = call, endpoint, now, event.attempts + 1
-        event.sent_group = self.deduplication_group(event, endpoint)
-        return Send(endpoint, self._timeout_ms(event, endpoint, now))
-
-    def _recovery_pause_ms(self, endpoint, now):
-        """Guards a destination that is out or returns cold: this node's part of the fall budget, for trials,
-        probes and events: the mean of its usual share and an even one among the nodes that can have met the
-        outage. Both add up, however many nodes there are. Hurts where others leave theirs unused.
-        """
-        key, growth = endpoint.rate_limiter, (1 - self.settings.cold_capacity_share) / self.warm_up_ms
-        present = self.settings.cold_capacity_share + (
-            0.0 if endpoint.is_down else growth * (now - endpoint.warming_since)
-        )
-        busy = max(key.sharing.busy_span_ms, now - key.outage_began_at)
-        share = key.share_among_nodes(busy) if key.listed_rate else key.rate_before_outage or MIN_RATE_PER_MS
-        pause = 2.0 / (
-            self.settings.overload_multiple * (key.rate_before_outage + key.listed_rate_confidence * share)
-        )  # were it warm
-        if endpoint.is_down or not growth:
-            return self.random_uniform(0.8, 1.2) * pause / present
-        # Over which a share that grows with the endpoint amounts to one call.
-        return self.random_uniform(0.8, 1.2) * (math.sqrt(present**2 + 2 * growth * pause) - present) / growth
-
-    def _may_share_call(self, event, endpoint, now):
-        """Whether it may travel with others. Guards them: a call ends for all when the time of one of its
-        events is up, and one that has less left than a slow answer takes would break it off for the others.
-        Hurts near the end of many events, each of which takes a slot.
-        """
-        rest = self._time_left_ms(event, now)
-        return (
-            rest >= endpoint.rate_limiter.silence_threshold_ms()
-            or self._timeout_ms(event, endpoint, now) < rest
-        )
-
-    def _time_left_ms(self, event, now):
-        """Ms for which an answer may be waited for: after that there must be time to tell the event's end."""
-        return event.expires_at - self.answer_margin_ms - now
-
-    def _timeout_ms(self, event, endpoint, now):
-        rest = self._time_left_ms(event, now)
-        if event.stream_type.effect == Effect.NON_IDEMPOTENT:
-            return max(1.0, rest)  # a time-out would only end it: nothing may follow
-        cold = 2.0 if now - endpoint.warming_since < self.warm_up_ms else 1.0
-        allow = min(
-            cold * (BASE_TIMEOUT_MS + TIMEOUT_LATENCIES * endpoint.rate_limiter.recent_latency_ms.value),
-            MAX_TIMEOUT_MS,
-        )
-        most = (
-            TIMEOUT_SHARE * event.stream_type.deduplication_window_ms
-            if event.stream_type.effect == Effect.DEDUPLICATED
-            else max(BASE_TIMEOUT_MS, TIMEOUT_SHARE * rest)
-        )
-        return max(1.0, min(allow, most, rest))
+        event.sent_group = deduplication_group(event, endpoint)
+        return Send(endpoint, self.timeouts.timeout_ms(event, endpoint, now))
 
     def _record_health(self, endpoint, outcome, now, latency, report):
         key = endpoint.rate_limiter
@@ -691,7 +554,7 @@
                 endpoint.failure_ratio = min(endpoint.failure_ratio, MAX_FAILURE_RATIO / 2)
                 # The next call waits as it warms, no more as a trial.
                 key.next_cold_slot_at = min(
-                    key.next_cold_slot_at, now + self._recovery_pause_ms(endpoint, now)
+                    key.next_cold_slot_at, now + self.recovery.pause_ms(endpoint, now)
                 )
             key.record_ack(now, latency, self._slow_everywhere)
             return
@@ -729,7 +592,8 @@
                 or key.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
                 and outcome in (SendOutcome.UNREACHABLE, SendOutcome.FAILED)
             )
-            and now - max(endpoint.acked_at, endpoint.warming_since + self.warm_up_ms) > LONE_FAILURE_MS
+            and now - max(endpoint.acked_at, endpoint.warming_since + self.recovery.warm_up_ms)
+            > LONE_FAILURE_MS
         ):
             # The last: a node of little traffic may see one call fail in all of an outage, and counts.
             self._mark_down(endpoint, now, outcome == SendOutcome.RATE_LIMITED)
@@ -744,18 +608,20 @@
             return  # its call outlasted it: another is listed under its id, or none
         key = endpoint.rate_limiter
         beside = [s for s in endpoint.destination.endpoints if s.rate_limiter is key and s is not endpoint]
-        if not any(s.is_down or now - s.warming_since < self.warm_up_ms for s in [endpoint, *beside]):
+        if not any(
+            s.is_down or now - s.warming_since < self.recovery.warm_up_ms for s in [endpoint, *beside]
+        ):
             # It may have begun any time since the last ack, and it does not lessen the usual part.
             key.begin_outage(
-                max(now - self.warm_up_ms, *(s.acked_at for s in [endpoint, *beside])),
+                max(now - self.recovery.warm_up_ms, *(s.acked_at for s in [endpoint, *beside])),
                 endpoint.failing_since if endpoint.consecutive_failures else now,
             )
         for other in beside:
-            if shut or other.acked_at < now - self.warm_up_ms / 2:
+            if shut or other.acked_at < now - self.recovery.warm_up_ms / 2:
                 other.is_down = self.down_endpoints[other] = True
                 other.consecutive_failures = max(other.consecutive_failures, int(shut))
         endpoint.is_down = self.down_endpoints[endpoint] = True
-        pause = self._recovery_pause_ms(endpoint, now) * self.random_uniform(0.0, 1.0)
+        pause = self.recovery.pause_ms(endpoint, now) * self.random_uniform(0.0, 1.0)
         key.next_cold_slot_at = max(now, key.retry_after_until) + max(MIN_TRIAL_PAUSE_MS, pause)
 
     def _slow_everywhere(self):
@@ -766,36 +632,13 @@
         ]
         return len(known) > 2 and sum(key.latency_has_risen() for key in known) * 2 > len(known)
 
-    def _has_longest_queue(self, destination):
-        return (
-            destination.pending_count * sum(1 for d in self.destinations.values() if d.pending_count)
-            > self.pending_count
-        )
-
     def give_up_at(self, event, now):
         """When it is given up at the latest."""
-        last = event.expires_at - self.answer_margin_ms
-        if event.may_have_run_at is not None and event.stream_type.effect == Effect.DEDUPLICATED:
-            last = min(
-                last,
-                event.may_have_run_at + event.stream_type.deduplication_window_ms - self.answer_margin_ms,
-            )
-        return last
-
-    def _is_spent(self, event, now):
-        return (
-            now >= self.give_up_at(event, now)
-            or event.attempts >= self.max_attempts
-            or event.may_have_run_at is not None
-            and event.stream_type.effect == Effect.NON_IDEMPOTENT
-        )
+        return self.retry_rules.give_up_at(event)
 
     def is_safe_to_reject(self, event):
         """Whether handing it back can do no harm."""
-        anywhere = (
-            event.stream_type.effect == Effect.DEDUPLICATED and event.stream_type.deduplication_group == "all"
-        )
-        return event.may_have_run_at is None or event.stream_type.effect == Effect.IDEMPOTENT or anywhere
+        return is_safe_to_reject(event)
 
     def _give_up(self, event, now):
         self._release(event)
@@ -806,29 +649,13 @@
         )
 
     def retry_after_ms(self, destination, now):
-        """Ms after which a client had best hand in again for a destination (None: unknown); 0: no advice."""
-        return min(
-            self.max_retry_after_ms,
-            max(500.0, self.queue_drain_time_ms(destination, now) if destination else 0.0),
-        )
+        """Ms after which a client had best retry for a destination (None: unknown); 0: no advice."""
+        return self.pending.retry_after_ms(destination, now)
 
     def queue_drain_time_ms(self, destination, now):
-        """Ms until all events held for this destination could be sent, at the present rates."""
-        keys = dict.fromkeys(
-            [s.rate_limiter for s in destination.endpoints if not s.is_down]
-            or [s.rate_limiter for s in destination.endpoints]
-        )
-        rate = sum(key.rate or math.inf for key in keys)
-        return (
-            destination.pending_count / rate + max(0.0, min(key.retry_after_until for key in keys) - now)
-            if keys
-            else math.inf
-        )
+        """Ms until all events pending for a destination could be sent, at the present rates."""
+        return queue_drain_time_ms(destination, now)
 
     def _release(self, event):
-        if not event.is_finished:
-            event.is_finished = True
-            event.destination.pending_count -= 1
-            self.pending_count -= 1
-        if event.ordering_key and event.call is None and event in self.ordering_queues[event.ordering_key][0]:
-            self.ordering_queues[event.ordering_key][0].remove(event)
+        self.pending.release(event)
+        self.ordering.remove(event)
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -445,7 +445,7 @@
     sizes = {
         "endpoints": len(module.endpoints),
         "lost": len(module.down_endpoints),
-        "subjects": len(module.ordering_queues),
+        "subjects": len(module.ordering.queues),
         "destinations": len(module.destinations),
         "events": len(run.session.pending),
         "addresses": len(discovery.addresses),
