--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -12,17 +12,16 @@
 
 from swiftthread.routing.admission import PendingCapacity, TenantQuotas, queue_drain_time_ms
 from swiftthread.routing.call_slots import CallSlots
-from swiftthread.routing.endpoint import Endpoint
-from swiftthread.routing.events import Call, Destination, Event
+from swiftthread.routing.endpoint_list import EndpointList
+from swiftthread.routing.events import Call, Event
 from swiftthread.routing.jitter import Jitter
+from swiftthread.routing.list_polling import ListPolling
 from swiftthread.routing.messages import NEVER_RAN, Abandon, Defer, NextCheck, Reject, Send, SendOutcome
 from swiftthread.routing.ordering import OrderingQueues
 from swiftthread.routing.rate_limiter import (
     ASSUMED_RATE_PER_MS,
     CALL_COST,
     SHARED_EVENT_COST,
-    FleetSharing,
-    RateLimiter,
 )
 from swiftthread.routing.recovery import RecoveryRamp
 from swiftthread.routing.retry_rules import (
@@ -54,9 +53,6 @@
 STREAM_TYPE_EJECTION_MS = (
     5000.0  # ms for which a stream type goes past an endpoint that failed it; some SLO times
 )
-AGENT_BACKOFF_MS = 200.0  # ms, mean, before a list is asked for again of a local agent
-DISCOVERY_BACKOFF_MS = 1000.0  # the same of a discovery that all nodes share; doubled by each failure
-BACKOFF_SPREAD = 0.5  # of that pause, either way: nodes that lost their lists together must not ask together
 
 
 class Router:
@@ -66,17 +62,6 @@
         self.settings = settings
         self.jitter = Jitter(seed)
         self.stream_types = list(settings.stream_types)
-        utility = sum(s.priority_weight for s in self.stream_types)
-        self.sharing = FleetSharing.from_settings(settings)
-        self.carriage_costs = [
-            fee * utility / max(1, len(self.stream_types)) for fee in settings.carriage_cost_by_zone
-        ]  # utility units
-        self.has_rates = settings.listed_rates in ("nominal", "rough")
-        self.next_list_request_at = 0.0 if settings.polls_discovery else math.inf
-        first = DISCOVERY_BACKOFF_MS if settings.polls_discovery else AGENT_BACKOFF_MS
-        # Asked within this time, a node does not count as told of what it has not heard.
-        most = settings.poll_within_ms / (1 + BACKOFF_SPREAD) if settings.polls_discovery else 0.0
-        self.list_backoff_ms, self.list_backoff_bounds_ms = first, (first, max(first, most))
         self.recovery = RecoveryRamp(settings, self.jitter)
         self.retry_rules = RetryRules(settings)
         self.timeouts = AttemptTimeouts(settings, self.recovery)
@@ -84,10 +69,9 @@
         self.slots = CallSlots(settings.max_calls_in_flight)
         self.quotas = TenantQuotas(settings)
         self.ordering = OrderingQueues(settings.ordering_rest_ms)
-        # By number, as the list names them; endpoints leave when long gone.
-        self.destinations: dict = {}
-        self.endpoints: dict = {}
-        self.pending = PendingCapacity(settings, self.destinations)
+        self.endpoint_list = EndpointList(settings, self.recovery)
+        self.list_polling = ListPolling(settings, self.jitter)
+        self.pending = PendingCapacity(settings, self.endpoint_list.destinations)
         # Endpoints that are down, in the order they went; emptied by an ack or the list.
         self.down_endpoints: dict = {}
         self.newly_idle: dict = {}  # endpoints whose last call out has ended; emptied each turn
@@ -112,11 +96,21 @@
         """How many events are pending."""
         return self.pending.pending_count
 
+    @property
+    def endpoints(self):
+        """The known endpoints by id."""
+        return self.endpoint_list.endpoints
+
+    @property
+    def destinations(self):
+        """The known destinations by number."""
+        return self.endpoint_list.destinations
+
     def add_event(self, now, stream_type_number, destination_number, left, tenant=None, subject=0):
         """Hold an event. `tenant`: its place among the quotas; None is none of them."""
         stream_type, destination = (
             self.stream_types[stream_type_number],
-            self.destinations.setdefault(destination_number, Destination(destination_number)),
+            self.endpoint_list.destination(destination_number),
         )
         expires_at = now + left
         event = Event(
@@ -134,91 +128,18 @@
         return event
 
     def apply_endpoint_list(self, entries, whole, now):
-        named, grown, self.list_backoff_ms = set(), {}, self.list_backoff_bounds_ms[0]
-        for ident, destination_number, zone, kind, rate, ready in entries:
-            destination, blocked = (
-                self.destinations.setdefault(destination_number, Destination(destination_number)),
-                -math.inf,
-            )
-            apart = bool(
-                kind < len(self.settings.separate_routes_by_kind)
-                and self.settings.separate_routes_by_kind[kind]
-            )
-            if (old := self.endpoints.get(ident)) and (
-                old.destination is not destination or old.has_separate_route != apart
-            ):
-                self._remove(
-                    self.endpoints.pop(ident)
-                )  # under its id it serves another now, or as another kind
-                self.down_endpoints.pop(old, None)
-                blocked = old.rate_limiter.retry_after_until if old.destination is destination else blocked
-            if ident not in self.endpoints and not ready:
-                continue
-            listed = rate / 1000.0 if self.has_rates and rate > 0 else None
-            if ident in self.endpoints:
-                endpoint = self.endpoints[ident]
-                endpoint.rate_limiter.update_from_list(listed)
-            else:
-                endpoint = self.endpoints[ident] = Endpoint(
-                    ident, zone, destination, self.settings.node_position
-                )
-                fresh = apart or not destination.rate_limiter
-                endpoint.rate_limiter = (
-                    RateLimiter(listed, self.sharing) if fresh else destination.rate_limiter
-                )
-                destination.rate_limiter = destination.rate_limiter or endpoint.rate_limiter
-                endpoint.rate_limiter.remember_listed_rate(listed)
-            named.add(ident)
-            endpoint.rate_limiter.extend_retry_after(blocked)  # a told wait outlasts the change
-            endpoint.has_separate_route, endpoint.is_ready, endpoint.zone = (
-                apart,
-                ready,
-                zone,
-            )  # it may come back elsewhere
-            endpoint.batch_size = (
-                self.settings.batch_size_by_kind[kind] if kind < len(self.settings.batch_size_by_kind) else 1
-            )
-            endpoint.carriage_cost = (
-                self.carriage_costs[zone] if apart and zone < len(self.carriage_costs) else 0.0
-            )
-            if ready and endpoint not in destination.endpoints:
-                grown[destination] = destination.endpoints = destination.endpoints + [endpoint]
-        for destination in grown:
-            destination.endpoints.sort(key=lambda s: (s.carriage_cost, s.rank))
-        for endpoint in [
-            s for s in self.endpoints.values() if not s.is_ready or (whole and s.endpoint_id not in named)
-        ]:
-            self._remove(endpoint)
-            # One that comes back under its id within an outage or a told wait must find both still known.
-            known_until = max(
-                endpoint.last_outcome_at + 2 * self.recovery.warm_up_ms,
-                endpoint.rate_limiter.retry_after_until,
-            )
-            if not endpoint.calls_in_flight and not endpoint.has_probe_in_flight and now > known_until:
-                self.down_endpoints.pop(endpoint, None)
-                del self.endpoints[endpoint.endpoint_id]
-
-    @staticmethod
-    def _remove(endpoint):
-        endpoint.is_ready = False
-        if endpoint in endpoint.destination.endpoints:
-            endpoint.destination.endpoints.remove(endpoint)
+        """Take an endpoint list in, or what changed of it."""
+        self.list_polling.record_list()
+        for endpoint in self.endpoint_list.apply(entries, whole, now):
+            self.down_endpoints.pop(endpoint, None)
 
     def list_request_failed(self, now):
-        """When to ask again: exponential backoff where a call is a load on discovery shared by all nodes.
-        Repeated sooner than it can answer all, calls keep it turning them away or answering too late.
-        """
-        self.next_list_request_at = now + self.list_backoff_ms * self.random_uniform(
-            1 - BACKOFF_SPREAD, 1 + BACKOFF_SPREAD
-        )
-        self.list_backoff_ms = min(2 * self.list_backoff_ms, self.list_backoff_bounds_ms[1])
-        return self.next_list_request_at
+        """Returns when to request the list again."""
+        return self.list_polling.record_failure(now)
 
     def should_request_list(self, now):
-        if now < self.next_list_request_at:
-            return False
-        self.next_list_request_at = math.inf
-        return True
+        """Whether to request the list now; true once until the next failure."""
+        return self.list_polling.take_request(now)
 
     def withdraw(self, event, now):
         self._release(event)
@@ -419,7 +340,7 @@
             for s in self.down_endpoints
             if self._wants_probe(s)
         ]
-        return min(m if m > now else math.inf for m in [self.next_list_request_at, *trials])
+        return min(m if m > now else math.inf for m in [self.list_polling.next_request_at, *trials])
 
     def _select_endpoint(self, event, now):
         """(sink, moment, joins a call): the sink to send to now, or None and when there may be one."""
@@ -604,7 +525,7 @@
         """Guards against an outage of the whole destination of which this node sees little: endpoints beside
         it that long acked nothing get one trial, none when shut. Hurts where one endpoint alone is out.
         """
-        if self.endpoints.get(endpoint.endpoint_id) is not endpoint:
+        if not self.endpoint_list.is_current(endpoint):
             return  # its call outlasted it: another is listed under its id, or none
         key = endpoint.rate_limiter
         beside = [s for s in endpoint.destination.endpoints if s.rate_limiter is key and s is not endpoint]
@@ -625,11 +546,7 @@
         key.next_cold_slot_at = max(now, key.retry_after_until) + max(MIN_TRIAL_PAUSE_MS, pause)
 
     def _slow_everywhere(self):
-        known = [
-            key
-            for key in {s.rate_limiter for s in self.endpoints.values()}
-            if key.lowest_latency_ms is not None
-        ]
+        known = [key for key in self.endpoint_list.rate_limiters() if key.lowest_latency_ms is not None]
         return len(known) > 2 and sum(key.latency_has_risen() for key in known) * 2 > len(known)
 
     def give_up_at(self, event, now):
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -183,7 +183,7 @@
     pauses = []
     for _ in range(500):
         run.session.router.list_request_failed(0.0)
-        pauses.append(run.session.router.next_list_request_at)
+        pauses.append(run.session.router.list_polling.next_request_at)
     assert limits.WATCH_QUIET_MS > 4000.0 and limits.WATCH_QUIET_MS + max(pauses) < 5200.0
 
 
