--- /dev/null
+++ b/swiftthread/routing/health.py
@@ -0,0 +1,234 @@
+"""What outcomes say of an endpoint: failures, outages of a destination, ejection by stream type.
+
+Moments and spans are in milliseconds.
+"""
+
+from __future__ import annotations
+
+from swiftthread.routing.endpoint import Endpoint
+from swiftthread.routing.endpoint_list import EndpointList
+from swiftthread.routing.jitter import Jitter
+from swiftthread.routing.messages import UNRELATED_TO_HEALTH, LoadReport, SendOutcome
+from swiftthread.routing.rate_limiter import RateLimiter
+from swiftthread.routing.recovery import RecoveryRamp
+from swiftthread.routing.settings import Settings, StreamType
+
+# ms without an ack after which one unanswered or unreached call tells of an outage.
+LONE_FAILURE_MS = 1000.0
+# ms since an ack within which a refused connection, with other calls in flight, says nothing of an outage.
+RECENT_ACK_MS = 1000.0
+# Calls failing in a row, none between, that tell of an outage; two can be chance.
+MAX_CONSECUTIVE_FAILURES = 3
+# Smoothed share of failed calls from which an endpoint counts as failing.
+MAX_FAILURE_RATIO = 0.6
+# Weight of the newest call in that share: it tells of about the last dozen calls.
+FAILURE_SMOOTHING = 0.15
+# ms of Retry-After, or of rejections in a row: longer than the spans that limits are counted in.
+SHUT_AFTER_MS = 2100.0
+# Rejections in a row over that span that are still chance.
+MAX_CONSECUTIVE_REJECTIONS = 1
+# ms: least pause before a failing endpoint is tried; a few round trips.
+MIN_TRIAL_PAUSE_MS = 300.0
+# Bounds of the random factor of the pause after a full connection table.
+FULL_TABLE_PAUSE_FACTORS = (0.5, 1.5)
+# Share of the time for a connect: one that fails sooner was refused, not unanswered.
+PROMPT_CONNECT_SHARE = 0.5
+# ms for which a stream type is not sent to an endpoint that failed it; some latency objectives.
+STREAM_TYPE_EJECTION_MS = 5000.0
+# Fewest limiters with a known latency by which a rise everywhere can be told.
+MIN_COMPARED_LIMITERS = 3
+
+
+class HealthTracker:
+    """Learns from outcomes which endpoints are down, and which of their stream types fail."""
+
+    def __init__(
+        self, settings: Settings, endpoint_list: EndpointList, recovery: RecoveryRamp, jitter: Jitter
+    ) -> None:
+        self.endpoint_list = endpoint_list
+        self.recovery = recovery
+        self.jitter = jitter
+        self.prompt_connect_ms = PROMPT_CONNECT_SHARE * settings.connect_timeout_ms
+        self.down_endpoints: dict[Endpoint, bool] = {}
+        """Endpoints that are down, in the order they went; removed by an ack or the endpoint list."""
+
+    def forget(self, endpoint: Endpoint) -> None:
+        """Drop an endpoint that left the endpoint list."""
+        self.down_endpoints.pop(endpoint, None)
+
+    def record_retry_after(
+        self, endpoint: Endpoint, outcome: SendOutcome, now: float, wait_ms: float
+    ) -> None:
+        """Learn from a Retry-After: a rejection with a long one tells of a destination that is shut."""
+        if outcome == SendOutcome.RATE_LIMITED and wait_ms > SHUT_AFTER_MS and not endpoint.is_down:
+            self._mark_down(endpoint, now, is_shut=True)
+
+    def record_stream_type(
+        self, endpoint: Endpoint, stream_type: StreamType, outcome: SendOutcome, now: float
+    ) -> None:
+        """Eject an endpoint for the stream type that it failed, until it acks one of it."""
+        if outcome in (SendOutcome.FAILED, SendOutcome.TIMED_OUT, SendOutcome.RESET):
+            endpoint.ejected_until_by_stream_type[stream_type] = now + STREAM_TYPE_EJECTION_MS
+        elif outcome == SendOutcome.ACKED:
+            endpoint.ejected_until_by_stream_type.pop(stream_type, None)
+
+    def record_call(
+        self,
+        endpoint: Endpoint,
+        outcome: SendOutcome,
+        now: float,
+        latency_ms: float,
+        load_report: LoadReport | None,
+    ) -> None:
+        """Learn from the outcome of a call."""
+        if load_report:
+            endpoint.rate_limiter.apply_load_report(load_report)
+        if outcome in UNRELATED_TO_HEALTH:
+            return
+        endpoint.last_outcome_at = now
+        if outcome == SendOutcome.CONNECTION_LIMIT:
+            self._record_full_table(endpoint, now)
+        elif outcome == SendOutcome.ACKED:
+            self._record_ack(endpoint, now, latency_ms)
+        elif outcome == SendOutcome.RATE_LIMITED:
+            if not endpoint.is_down:
+                endpoint.rate_limiter.reduce_rate(now, was_rejected=True)
+            self._record_failure(endpoint, outcome, now, latency_ms)
+        else:
+            self._record_error(endpoint, outcome, now, latency_ms)
+
+    def _record_full_table(self, endpoint: Endpoint, now: float) -> None:
+        """Neither its limit nor its health: the endpoint answered that its table of connections is full."""
+        endpoint.table_full_at = now
+        endpoint.retry_at = now + MIN_TRIAL_PAUSE_MS * self.jitter.uniform(*FULL_TABLE_PAUSE_FACTORS)
+
+    def _record_ack(self, endpoint: Endpoint, now: float, latency_ms: float) -> None:
+        endpoint.acked_at = now
+        endpoint.consecutive_failures = 0
+        endpoint.failure_ratio = endpoint.failure_ratio * (1 - FAILURE_SMOOTHING)
+        if endpoint.is_down:
+            self._begin_warm_up(endpoint, now)
+        endpoint.rate_limiter.record_ack(now, latency_ms, self._is_slow_everywhere)
+
+    def _begin_warm_up(self, endpoint: Endpoint, now: float) -> None:
+        limiter = endpoint.rate_limiter
+        # It came back some time since the last failure: in the mean over all nodes, half way.
+        out_until = max(endpoint.failed_at, limiter.outage_began_at, limiter.retry_after_until)
+        endpoint.is_down = False
+        endpoint.is_silent = False
+        endpoint.warming_since = (out_until + now) / 2
+        self.down_endpoints.pop(endpoint, None)
+        endpoint.failure_ratio = min(endpoint.failure_ratio, MAX_FAILURE_RATIO / 2)
+        # The next call waits as it warms, no more as a trial.
+        pause_ms = self.recovery.pause_ms(endpoint, now)
+        limiter.set_next_cold_slot(min(limiter.next_cold_slot_at, now + pause_ms))
+
+    def _record_error(self, endpoint: Endpoint, outcome: SendOutcome, now: float, latency_ms: float) -> None:
+        if outcome == SendOutcome.UNREACHABLE and latency_ms < self.prompt_connect_ms:
+            # A connect that fails at once, maybe while others are answered, can be a full connection table.
+            endpoint.table_full_at = now
+            if endpoint.calls_in_flight and now - endpoint.acked_at < RECENT_ACK_MS:
+                return
+        endpoint.rate_limiter.record_failure()
+        endpoint.failure_ratio += FAILURE_SMOOTHING * (1 - endpoint.failure_ratio)
+        self._record_failure(endpoint, outcome, now, latency_ms)
+
+    def _record_failure(
+        self, endpoint: Endpoint, outcome: SendOutcome, now: float, latency_ms: float
+    ) -> None:
+        if not endpoint.consecutive_failures:
+            endpoint.failing_since = now
+        endpoint.consecutive_failures += 1
+        endpoint.failed_at = now
+        endpoint.is_silent = outcome == SendOutcome.TIMED_OUT
+        endpoint.has_passed_probe = False
+        if endpoint.is_down:
+            return
+        if (
+            endpoint.failure_ratio > MAX_FAILURE_RATIO
+            or self._fails_in_a_row(endpoint, outcome, now)
+            or self._tells_of_outage(endpoint, outcome, latency_ms)
+            and self._has_long_acked_nothing(endpoint, now)
+        ):
+            self._mark_down(endpoint, now, is_shut=outcome == SendOutcome.RATE_LIMITED)
+        elif self._limiter_fails(endpoint.rate_limiter) and outcome != SendOutcome.RATE_LIMITED:
+            endpoint.rate_limiter.reduce_rate(now, was_rejected=False)
+
+    @staticmethod
+    def _fails_in_a_row(endpoint: Endpoint, outcome: SendOutcome, now: float) -> bool:
+        """Whether failures in a row, or rejections over a long span, are more than chance."""
+        if outcome != SendOutcome.RATE_LIMITED:
+            return endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+        return (
+            endpoint.consecutive_failures > MAX_CONSECUTIVE_REJECTIONS
+            and now - endpoint.failing_since > SHUT_AFTER_MS
+        )
+
+    def _tells_of_outage(self, endpoint: Endpoint, outcome: SendOutcome, latency_ms: float) -> bool:
+        """Whether one failure is of a kind that an outage gives.
+
+        A node of little traffic may see one call fail in all of an outage, and counts.
+        """
+        if outcome == SendOutcome.TIMED_OUT:
+            return True
+        if outcome == SendOutcome.UNREACHABLE and latency_ms >= self.prompt_connect_ms:
+            return True
+        return self._limiter_fails(endpoint.rate_limiter) and outcome in (
+            SendOutcome.UNREACHABLE,
+            SendOutcome.FAILED,
+        )
+
+    def _has_long_acked_nothing(self, endpoint: Endpoint, now: float) -> bool:
+        last_sign_at = max(endpoint.acked_at, self.recovery.warm_up_ends_at(endpoint))
+        return now - last_sign_at > LONE_FAILURE_MS
+
+    @staticmethod
+    def _limiter_fails(limiter: RateLimiter) -> bool:
+        """Whether calls failed in a row at all endpoints of the limiter together."""
+        return limiter.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+
+    def _mark_down(self, endpoint: Endpoint, now: float, is_shut: bool) -> None:
+        """Hold an endpoint, and maybe those that share its limiter, to be down.
+
+        Guards against an outage of the whole destination of which this node sees little: endpoints beside it
+        that long acked nothing get one trial, none when shut. Hurts where one endpoint alone is out.
+        """
+        if not self.endpoint_list.is_current(endpoint):
+            return  # its call outlasted it: another is listed under its id, or none
+        siblings = [
+            other
+            for other in endpoint.destination.endpoints
+            if other.rate_limiter is endpoint.rate_limiter and other is not endpoint
+        ]
+        self._begin_outage(endpoint, siblings, now)
+        for other in siblings:
+            if is_shut or other.acked_at < now - self.recovery.warm_up_ms / 2:
+                other.is_down = True
+                self.down_endpoints[other] = True
+                other.consecutive_failures = max(other.consecutive_failures, int(is_shut))
+        endpoint.is_down = True
+        self.down_endpoints[endpoint] = True
+        self._schedule_first_trial(endpoint, now)
+
+    def _begin_outage(self, endpoint: Endpoint, siblings: list[Endpoint], now: float) -> None:
+        """Keep when the outage began and what was usual before, unless this continues one."""
+        affected = [endpoint, *siblings]
+        if any(other.is_down or self.recovery.is_warming(other, now) for other in affected):
+            return
+        # It may have begun any time since the last ack, and it does not lessen the usual share.
+        began_at = max(now - self.recovery.warm_up_ms, *(other.acked_at for other in affected))
+        served_until = endpoint.failing_since if endpoint.consecutive_failures else now
+        endpoint.rate_limiter.begin_outage(began_at, served_until)
+
+    def _schedule_first_trial(self, endpoint: Endpoint, now: float) -> None:
+        limiter = endpoint.rate_limiter
+        pause_ms = self.recovery.pause_ms(endpoint, now) * self.jitter.uniform(0.0, 1.0)
+        limiter.set_next_cold_slot(max(now, limiter.retry_after_until) + max(MIN_TRIAL_PAUSE_MS, pause_ms))
+
+    def _is_slow_everywhere(self) -> bool:
+        """Whether latency has risen at more than half of the limiters that have a known one."""
+        known = [
+            limiter for limiter in self.endpoint_list.rate_limiters() if limiter.lowest_latency_ms is not None
+        ]
+        risen = sum(limiter.latency_has_risen() for limiter in known)
+        return len(known) >= MIN_COMPARED_LIMITERS and risen * 2 > len(known)
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -14,9 +14,21 @@
 from swiftthread.routing.call_slots import CallSlots
 from swiftthread.routing.endpoint_list import EndpointList
 from swiftthread.routing.events import Call, Event
+from swiftthread.routing.health import HealthTracker
+from swiftthread.routing.health_checks import HealthChecks
+from swiftthread.routing.idle_connections import IdleConnections
 from swiftthread.routing.jitter import Jitter
 from swiftthread.routing.list_polling import ListPolling
-from swiftthread.routing.messages import NEVER_RAN, Abandon, Defer, NextCheck, Reject, Send, SendOutcome
+from swiftthread.routing.messages import (
+    NEVER_RAN,
+    UNRELATED_TO_HEALTH,
+    Abandon,
+    Defer,
+    NextCheck,
+    Reject,
+    Send,
+    SendOutcome,
+)
 from swiftthread.routing.ordering import OrderingQueues
 from swiftthread.routing.rate_limiter import (
     ASSUMED_RATE_PER_MS,
@@ -35,25 +47,6 @@
 from swiftthread.routing.timeouts import AttemptTimeouts
 from swiftthread.routing.urgency import UrgencyRanking
 
-LONE_FAILURE_MS = 1000.0  # ms without an ack after which one unanswered or unreached call tells of an outage
-MAX_CONSECUTIVE_FAILURES = 3  # calls failing in a row, none between: an error run; two can be chance
-MAX_FAILURE_RATIO = 0.6  # share of failed calls, smoothed, from which a sink counts as failing
-SMOOTHING_WEIGHT = 0.15  # weight of the newest call in that share; about the last dozen calls
-MIN_TRIAL_PAUSE_MS = 300.0  # ms: least pause before a failing sink is tried; a few round trips
-PROMPT_CONNECT_SHARE = 0.5  # of the time for a connect: one that fails sooner was refused, not unanswered
-FULL_TABLE_MS = 20000.0  # ms for which a refused connect says that the endpoint's table is short of room
-MIN_CONNECTION_USE, MIN_CONNECTION_USE_MS = (
-    0.2,
-    50.0,
-)  # share of the time from which a connection is kept: in use, or being made anew
-SHUT_AFTER_MS, MAX_CONSECUTIVE_REJECTIONS = (
-    2100.0,
-    1,
-)  # ms told to wait, or refused in a row for that long: shut; fewer are chance
-STREAM_TYPE_EJECTION_MS = (
-    5000.0  # ms for which a stream type goes past an endpoint that failed it; some SLO times
-)
-
 
 class Router:
     """The decisions of one delivery node."""
@@ -72,10 +65,9 @@
         self.endpoint_list = EndpointList(settings, self.recovery)
         self.list_polling = ListPolling(settings, self.jitter)
         self.pending = PendingCapacity(settings, self.endpoint_list.destinations)
-        # Endpoints that are down, in the order they went; emptied by an ack or the list.
-        self.down_endpoints: dict = {}
-        self.newly_idle: dict = {}  # endpoints whose last call out has ended; emptied each turn
-        self.prompt_connect_ms = PROMPT_CONNECT_SHARE * settings.connect_timeout_ms
+        self.health = HealthTracker(settings, self.endpoint_list, self.recovery, self.jitter)
+        self.health_checks = HealthChecks(settings, self.health, self.recovery)
+        self.idle_connections = IdleConnections(settings)
 
     @property
     def random_uniform(self):
@@ -131,7 +123,7 @@
         """Take an endpoint list in, or what changed of it."""
         self.list_polling.record_list()
         for endpoint in self.endpoint_list.apply(entries, whole, now):
-            self.down_endpoints.pop(endpoint, None)
+            self.health.forget(endpoint)
 
     def list_request_failed(self, now):
         """Returns when to request the list again."""
@@ -237,30 +229,18 @@
         event.attempts -= outcome == SendOutcome.NOT_SENT
         if call.unresolved_count == 0:
             self.slots.release(endpoint)
-            self.newly_idle[endpoint] = True
+            self.idle_connections.note_call_ended(endpoint)
             if outcome in (SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT) and not call.is_recorded:
                 endpoint.rate_limiter.give_back_slot()  # nobody was called: its slot is the next one's
         if (
             retry_after_ms > 0 and outcome != SendOutcome.NOT_EXECUTED
         ):  # each event of a call may be told a wait of its own
             endpoint.rate_limiter.apply_retry_after(now + retry_after_ms + 1.0, self.random_uniform)
-            if (
-                outcome == SendOutcome.RATE_LIMITED
-                and retry_after_ms > SHUT_AFTER_MS
-                and not endpoint.is_down
-            ):
-                self._mark_down(endpoint, now, True)
-        if outcome in (SendOutcome.FAILED, SendOutcome.TIMED_OUT, SendOutcome.RESET):
-            endpoint.ejected_until_by_stream_type[event.stream_type] = now + STREAM_TYPE_EJECTION_MS
-        elif outcome == SendOutcome.ACKED:
-            endpoint.ejected_until_by_stream_type.pop(event.stream_type, None)
+            self.health.record_retry_after(endpoint, outcome, now, retry_after_ms)
+        self.health.record_stream_type(endpoint, event.stream_type, outcome, now)
         if not call.is_recorded:
-            call.is_recorded = outcome not in (
-                SendOutcome.CANCELLED,
-                SendOutcome.NOT_EXECUTED,
-                SendOutcome.NOT_SENT,
-            )  # nothing, of one that was not in it
-            self._record_health(endpoint, outcome, now, latency_ms, load_report)
+            call.is_recorded = outcome not in UNRELATED_TO_HEALTH
+            self.health.record_call(endpoint, outcome, now, latency_ms, load_report)
         if outcome not in (SendOutcome.ACKED, *NEVER_RAN):
             if event.may_have_run_at is None:
                 event.may_have_run_at, event.may_have_run_group = event.sent_at, event.sent_group
@@ -276,71 +256,22 @@
         return NextCheck(max(now, event.check_at), event.waits_for_outcome)
 
     def endpoints_to_probe(self, now):
-        """Sinks to probe now: failing ones with events waiting, at the pace of trials."""
-        found = [
-            s
-            for s in self.down_endpoints
-            if self._wants_probe(s)
-            and s.rate_limiter.next_cold_slot_at <= now >= s.rate_limiter.retry_after_until
-        ]
-        for endpoint in found:
-            endpoint.has_probe_in_flight, endpoint.rate_limiter.next_cold_slot_at = (
-                True,
-                now + self.recovery.pause_ms(endpoint, now),
-            )
-        return found
+        """Endpoints to send a health check to now: silent ones with events waiting, at the pace of trials."""
+        return self.health_checks.start_due(now)
 
     def endpoints_to_disconnect(self, now):
-        """Sinks whose idle connections to close now. Guards a connection table that those of many nodes fill:
-        one that idles far longer than it is used is a place taken from others. Hurts where the next event
-        comes sooner than the last.
-        """
-        idle, self.newly_idle = self.newly_idle, {}
-        return [
-            s
-            for s in idle
-            if not s.calls_in_flight
-            and (now - s.table_full_at < FULL_TABLE_MS or self._is_mostly_idle(s, now))
-        ]
-
-    def _is_mostly_idle(self, endpoint, now):
-        """Whether a connection there would idle most of the time. Not while events wait; where no end of that
-        is told it may.
-        """
-        used = endpoint.rate_limiter.usual_rate.at(now) * max(
-            endpoint.rate_limiter.recent_latency_ms.value, MIN_CONNECTION_USE_MS
-        )
-        return (
-            self.settings.keepalive_ms < math.inf
-            and not endpoint.destination.pending_count
-            and used <= MIN_CONNECTION_USE
-        )
-
-    def _wants_probe(self, endpoint):
-        # Only a sink that went silent: elsewhere an event that is tried loses nothing.
-        return (
-            self.settings.may_send_health_checks
-            and endpoint.is_down
-            and endpoint.is_silent
-            and endpoint.is_ready
-            and endpoint.destination.pending_count > 0
-            and not (endpoint.has_passed_probe or endpoint.has_probe_in_flight or endpoint.calls_in_flight)
-        )
+        """Endpoints whose idle connections to close now."""
+        return self.idle_connections.take_disconnectable(now)
 
     def record_probe(self, ident, outcome, now, latency, report=None):
+        """What a health check tells of its endpoint."""
         if endpoint := self.endpoints.get(ident):
-            endpoint.has_probe_in_flight, endpoint.has_passed_probe = (
-                False,
-                endpoint.has_probe_in_flight and outcome == SendOutcome.ACKED,
-            )
+            self.health_checks.record(endpoint, outcome)
 
     def next_wakeup_at(self, now):
-        trials = [
-            max(s.rate_limiter.next_cold_slot_at, s.rate_limiter.retry_after_until)
-            for s in self.down_endpoints
-            if self._wants_probe(s)
-        ]
-        return min(m if m > now else math.inf for m in [self.list_polling.next_request_at, *trials])
+        """When a list request or a health check is due next."""
+        request_at = self.list_polling.next_request_at
+        return min(request_at if request_at > now else math.inf, self.health_checks.next_at(now))
 
     def _select_endpoint(self, event, now):
         """(sink, moment, joins a call): the sink to send to now, or None and when there may be one."""
@@ -446,109 +377,6 @@
         event.sent_group = deduplication_group(event, endpoint)
         return Send(endpoint, self.timeouts.timeout_ms(event, endpoint, now))
 
-    def _record_health(self, endpoint, outcome, now, latency, report):
-        key = endpoint.rate_limiter
-        if report:
-            key.apply_load_report(report)
-        if outcome in (SendOutcome.CANCELLED, SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT):
-            return
-        endpoint.last_outcome_at = now
-        if (
-            outcome == SendOutcome.CONNECTION_LIMIT
-        ):  # neither its limit nor its health: it answered that its table is full
-            endpoint.table_full_at, endpoint.retry_at = (
-                now,
-                now + MIN_TRIAL_PAUSE_MS * self.random_uniform(0.5, 1.5),
-            )
-            return
-        if outcome == SendOutcome.ACKED:
-            endpoint.acked_at, endpoint.consecutive_failures, endpoint.failure_ratio = (
-                now,
-                0,
-                endpoint.failure_ratio * (1 - SMOOTHING_WEIGHT),
-            )
-            if endpoint.is_down:
-                # It came back some time since the last failure: in the mean over all nodes, half way.
-                began = max(endpoint.failed_at, key.outage_began_at, key.retry_after_until)
-                endpoint.is_down, endpoint.is_silent, endpoint.warming_since = False, False, (began + now) / 2
-                self.down_endpoints.pop(endpoint, None)
-                endpoint.failure_ratio = min(endpoint.failure_ratio, MAX_FAILURE_RATIO / 2)
-                # The next call waits as it warms, no more as a trial.
-                key.next_cold_slot_at = min(
-                    key.next_cold_slot_at, now + self.recovery.pause_ms(endpoint, now)
-                )
-            key.record_ack(now, latency, self._slow_everywhere)
-            return
-        if outcome == SendOutcome.RATE_LIMITED and not endpoint.is_down:
-            key.reduce_rate(now, True)
-        elif outcome != SendOutcome.RATE_LIMITED:
-            # A connect that fails at once, maybe while others are answered, can be a full connection table.
-            if outcome == SendOutcome.UNREACHABLE and latency < self.prompt_connect_ms:
-                endpoint.table_full_at = now
-                if endpoint.calls_in_flight and now - endpoint.acked_at < 1000.0:
-                    return
-            key.consecutive_failures, endpoint.failure_ratio = (
-                key.consecutive_failures + 1,
-                endpoint.failure_ratio + SMOOTHING_WEIGHT * (1 - endpoint.failure_ratio),
-            )
-        endpoint.consecutive_failures, endpoint.failing_since, endpoint.failed_at = (
-            endpoint.consecutive_failures + 1,
-            endpoint.failing_since if endpoint.consecutive_failures else now,
-            now,
-        )
-        endpoint.is_silent, endpoint.has_passed_probe = outcome == SendOutcome.TIMED_OUT, False
-        if endpoint.is_down:
-            return
-        if (
-            endpoint.failure_ratio > MAX_FAILURE_RATIO
-            or endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
-            and outcome != SendOutcome.RATE_LIMITED
-            or endpoint.consecutive_failures > MAX_CONSECUTIVE_REJECTIONS
-            and outcome == SendOutcome.RATE_LIMITED
-            and now - endpoint.failing_since > SHUT_AFTER_MS
-            or (
-                outcome == SendOutcome.TIMED_OUT
-                or outcome == SendOutcome.UNREACHABLE
-                and latency >= self.prompt_connect_ms
-                or key.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
-                and outcome in (SendOutcome.UNREACHABLE, SendOutcome.FAILED)
-            )
-            and now - max(endpoint.acked_at, endpoint.warming_since + self.recovery.warm_up_ms)
-            > LONE_FAILURE_MS
-        ):
-            # The last: a node of little traffic may see one call fail in all of an outage, and counts.
-            self._mark_down(endpoint, now, outcome == SendOutcome.RATE_LIMITED)
-        elif key.consecutive_failures >= MAX_CONSECUTIVE_FAILURES and outcome != SendOutcome.RATE_LIMITED:
-            key.reduce_rate(now, False)
-
-    def _mark_down(self, endpoint, now, shut):
-        """Guards against an outage of the whole destination of which this node sees little: endpoints beside
-        it that long acked nothing get one trial, none when shut. Hurts where one endpoint alone is out.
-        """
-        if not self.endpoint_list.is_current(endpoint):
-            return  # its call outlasted it: another is listed under its id, or none
-        key = endpoint.rate_limiter
-        beside = [s for s in endpoint.destination.endpoints if s.rate_limiter is key and s is not endpoint]
-        if not any(
-            s.is_down or now - s.warming_since < self.recovery.warm_up_ms for s in [endpoint, *beside]
-        ):
-            # It may have begun any time since the last ack, and it does not lessen the usual part.
-            key.begin_outage(
-                max(now - self.recovery.warm_up_ms, *(s.acked_at for s in [endpoint, *beside])),
-                endpoint.failing_since if endpoint.consecutive_failures else now,
-            )
-        for other in beside:
-            if shut or other.acked_at < now - self.recovery.warm_up_ms / 2:
-                other.is_down = self.down_endpoints[other] = True
-                other.consecutive_failures = max(other.consecutive_failures, int(shut))
-        endpoint.is_down = self.down_endpoints[endpoint] = True
-        pause = self.recovery.pause_ms(endpoint, now) * self.random_uniform(0.0, 1.0)
-        key.next_cold_slot_at = max(now, key.retry_after_until) + max(MIN_TRIAL_PAUSE_MS, pause)
-
-    def _slow_everywhere(self):
-        known = [key for key in self.endpoint_list.rate_limiters() if key.lowest_latency_ms is not None]
-        return len(known) > 2 and sum(key.latency_has_risen() for key in known) * 2 > len(known)
-
     def give_up_at(self, event, now):
         """When it is given up at the latest."""
         return self.retry_rules.give_up_at(event)
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -231,7 +231,7 @@
     run = SimulatedNode([(1, 0, 0, 0, 20.0, True)], node_count=2)
     node, endpoint = run.session.router, (run.play(1.0), run.session.router.endpoints[1])[1]
     for moment, limit in ((10.0, 20.0), (20.0, 21.0), (30.0, 3.0)):
-        node._record_health(endpoint, SendOutcome.ACKED, moment, 50.0, LoadReport(0.5, limit))
+        node.health.record_call(endpoint, SendOutcome.ACKED, moment, 50.0, LoadReport(0.5, limit))
         run.lines.append(
             f"told {limit}: rate {endpoint.rate_limiter.rate * 1000:.2f}, "
             f"even part {endpoint.rate_limiter.busy_share * 1000:.2f}, "
@@ -444,7 +444,7 @@
     lines.close_all()
     sizes = {
         "endpoints": len(module.endpoints),
-        "lost": len(module.down_endpoints),
+        "lost": len(module.health.down_endpoints),
         "subjects": len(module.ordering.queues),
         "destinations": len(module.destinations),
         "events": len(run.session.pending),
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from swiftthread.routing import router
+from swiftthread.routing import health
 from swiftthread.routing.messages import Defer, Reject, Send, SendOutcome
 from swiftthread.routing.router import Router
 from swiftthread.routing.settings import Effect, Settings, StreamType
@@ -199,7 +199,7 @@
     monkeypatch.setattr(pending_queues, "RESORT_MS", -1.0)
     monkeypatch.setattr(pending_queues, "RESORT_MS_EACH", 0.0)
     monkeypatch.setattr(
-        router, "STREAM_TYPE_EJECTION_MS", 0.0
+        health, "STREAM_TYPE_EJECTION_MS", 0.0
     )  # the end of a shun wakes nobody; it never did
     rng = random.Random(seed)
     made = module(
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -205,7 +205,7 @@
     )
     assert node.send_deadline(event, old, 3500.0) == -math.inf
     node.record_outcome(event, SendOutcome.TIMED_OUT, 3600.0, 3600.0)
-    assert node.down_endpoints == {} and not new.is_down and new.calls_in_flight == 0
+    assert node.health.down_endpoints == {} and not new.is_down and new.calls_in_flight == 0
 
 
 def test_a_probe_s_answer_from_an_address_of_before_says_nothing_of_the_endpoint():
