--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -324,7 +324,7 @@
     for event in (first, last):
         made.record_outcome(event, SendOutcome.RATE_LIMITED, 50.0, 50.0)
         waiting.add(event, 50.0)
-    made.capacity = 1
+    made.pending.capacity = 1
     moved = [event for event, _ in waiting.tick(60.0)]
     assert len(moved) == len(set(moved)) == 2 and len(waiting) == 1
     assert len(waiting.row_of) == 1 and sum(group.waiting for group in waiting.groups.values()) == 1
