--- a/swiftthread/routing/messages.py
+++ b/swiftthread/routing/messages.py
@@ -41,6 +41,9 @@
 )
 """Outcomes after which the event surely had no effect."""
 
+MAY_HAVE_RUN = (SendOutcome.FAILED, SendOutcome.TIMED_OUT, SendOutcome.RESET, SendOutcome.CANCELLED)
+"""Outcomes after which the event may have had an effect, or may still have one."""
+
 
 UNRELATED_TO_HEALTH = (SendOutcome.CANCELLED, SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT)
 """Outcomes that say nothing of the endpoint."""
--- /dev/null
+++ b/swiftthread/routing/selection.py
@@ -0,0 +1,174 @@
+"""Chooses the endpoint for an attempt of an event."""
+
+from __future__ import annotations
+
+import math
+from typing import NamedTuple
+
+from swiftthread.routing.call_slots import CallSlots
+from swiftthread.routing.endpoint import Endpoint
+from swiftthread.routing.events import Event
+from swiftthread.routing.health_checks import HealthChecks
+from swiftthread.routing.rate_limiter import ASSUMED_RATE_PER_MS
+from swiftthread.routing.recovery import RecoveryRamp
+from swiftthread.routing.retry_rules import may_go_to
+from swiftthread.routing.timeouts import AttemptTimeouts
+from swiftthread.routing.urgency import UrgencyRanking
+
+# ms after which an event of a destination without endpoints is decided again.
+NO_ENDPOINT_RETRY_MS = 200.0
+# x silence threshold for an endpoint with one call in flight: that call alone may be slow.
+LONE_CALL_SILENCE_FACTOR = 2
+
+
+class Selected(NamedTuple):
+    """Send to this endpoint now."""
+
+    endpoint: Endpoint
+    joins_call: bool
+    """Whether the event travels in a call that was made in this turn."""
+
+
+class NoneAvailable(NamedTuple):
+    """No endpoint may get the event now."""
+
+    until: float
+    """When one may; inf: after some outcome."""
+
+
+class Candidate(NamedTuple):
+    """An endpoint that may get the event, and when; inf: after some outcome."""
+
+    endpoint: Endpoint
+    available_at: float
+
+
+class EndpointSelector:
+    """Chooses among the endpoints of a destination, in this node's order of them."""
+
+    def __init__(
+        self,
+        slots: CallSlots,
+        recovery: RecoveryRamp,
+        health_checks: HealthChecks,
+        timeouts: AttemptTimeouts,
+        urgency: UrgencyRanking,
+    ) -> None:
+        self.slots = slots
+        self.recovery = recovery
+        self.health_checks = health_checks
+        self.timeouts = timeouts
+        self.urgency = urgency
+
+    def select(self, event: Event, now: float) -> Selected | NoneAvailable:
+        """The endpoint for the next attempt of an event, or when there may be one."""
+        candidates = []
+        for endpoint in event.destination.endpoints:
+            if not may_go_to(event, endpoint):
+                continue
+            if endpoint.rate_limiter.has_joinable_call_to(endpoint, now) and self.timeouts.may_share_call(
+                event, endpoint, now
+            ):
+                return Selected(endpoint, joins_call=True)
+            candidates.append(Candidate(endpoint, self._available_at(endpoint, now)))
+        if not event.destination.endpoints:
+            return NoneAvailable(now + NO_ENDPOINT_RETRY_MS)
+        if not candidates or self.slots.are_denied_to(event.destination):
+            return NoneAvailable(math.inf)
+        candidates = self._without_ejected(candidates, event, now)
+        if candidates[0].endpoint.has_separate_route:
+            return self._select_route(event, candidates, now)
+        return self._select_replica(event, candidates, now)
+
+    @staticmethod
+    def _without_ejected(candidates: list[Candidate], event: Event, now: float) -> list[Candidate]:
+        """The candidates that did not fail this stream type lately, or all if each of them did.
+
+        Guards a stream type that one endpoint fails while it takes others. Hurts where its failures are
+        chance and the others have less capacity.
+        """
+        stream_type = event.stream_type
+        return [
+            candidate
+            for candidate in candidates
+            if candidate.endpoint.ejected_until_by_stream_type.get(stream_type, 0.0) <= now
+        ] or candidates
+
+    def _available_at(self, endpoint: Endpoint, now: float) -> float:
+        """When this endpoint may get a call: inf means after some outcome."""
+        limiter = endpoint.rate_limiter
+        if endpoint.is_down:
+            if (
+                endpoint.calls_in_flight
+                or endpoint.has_probe_in_flight
+                or self.health_checks.must_pass_first(endpoint)
+            ):
+                return math.inf
+            is_free_trial = endpoint.has_passed_probe or not endpoint.consecutive_failures
+            return max(now if is_free_trial else limiter.next_cold_slot_at, limiter.ready_at())
+        if endpoint.calls_in_flight and self._is_silent(endpoint, now):
+            return math.inf
+        cold_slot_at = limiter.next_cold_slot_at if self.recovery.is_warming(endpoint, now) else now
+        return max(limiter.ready_at(), endpoint.retry_at, cold_slot_at)
+
+    @staticmethod
+    def _is_silent(endpoint: Endpoint, now: float) -> bool:
+        """Whether calls in flight had no outcome for too long.
+
+        Bookings never learn when calls end: a silent endpoint would take slot after slot.
+        """
+        factor = 1 if endpoint.calls_in_flight > 1 else LONE_CALL_SILENCE_FACTOR
+        return now - endpoint.last_outcome_at > endpoint.rate_limiter.silence_threshold_ms() * factor
+
+    def _select_route(
+        self, event: Event, candidates: list[Candidate], now: float
+    ) -> Selected | NoneAvailable:
+        """Choose among routes with limits of their own: the one that loses least value, costs counted."""
+
+        def benefit(candidate: Candidate) -> tuple[float, float]:
+            endpoint, available_at = candidate
+            limiter = endpoint.rate_limiter
+            start = max(available_at, now)
+            if available_at > now and limiter.rate:
+                # All that wait here wait for a better route's slot too: the queue's length says how long.
+                start = start + event.destination.pending_count / limiter.rate
+            value = self.urgency.value_at(event, start + limiter.recent_latency_ms.value)
+            return value - endpoint.carriage_cost, -start
+
+        best = max(candidates, key=benefit)
+        if best.available_at <= now:
+            return Selected(best.endpoint, joins_call=False)
+        limiter = best.endpoint.rate_limiter
+        if limiter.retry_after_until < best.available_at < math.inf:
+            limiter.note_demand(now)
+        return NoneAvailable(
+            min(candidate.available_at for candidate in candidates if candidate.available_at > now)
+        )
+
+    @staticmethod
+    def _select_replica(event: Event, candidates: list[Candidate], now: float) -> Selected | NoneAvailable:
+        """Choose among endpoints that share a limiter: the first in rank that has not enough calls."""
+        limiter = event.destination.rate_limiter
+        assert limiter is not None  # set with the first endpoint
+        ready = [candidate.endpoint for candidate in candidates if candidate.available_at <= now]
+        if not ready:
+            soonest = min(candidate.available_at for candidate in candidates)
+            if soonest < math.inf:
+                limiter.note_demand(now)
+            return NoneAvailable(soonest)
+        # Of those that are down, the ones that failed least get the trials.
+        fewest_failures = min(
+            (endpoint.consecutive_failures for endpoint in ready if endpoint.is_down), default=0
+        )
+        ready = [
+            endpoint
+            for endpoint in ready
+            if not endpoint.is_down or endpoint.consecutive_failures == fewest_failures
+        ]
+        # The first in rank has enough with its part of the calls that the limiter keeps busy.
+        rate = limiter.rate or ASSUMED_RATE_PER_MS
+        enough = max(1.0, rate * limiter.recent_latency_ms.value / len(event.destination.endpoints))
+        for endpoint in ready:
+            if endpoint.calls_in_flight < enough:
+                return Selected(endpoint, joins_call=False)
+        return Selected(min(ready, key=lambda endpoint: endpoint.calls_in_flight), joins_call=False)
