--- a/swiftthread/routing/selection.py
+++ b/swiftthread/routing/selection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from typing import NamedTuple
+from dataclasses import dataclass
 
 from swiftthread.routing.call_slots import CallSlots
 from swiftthread.routing.endpoint import Endpoint
@@ -11,7 +11,7 @@
 from swiftthread.routing.health_checks import HealthChecks
 from swiftthread.routing.rate_limiter import ASSUMED_RATE_PER_MS
 from swiftthread.routing.recovery import RecoveryRamp
-from swiftthread.routing.retry_rules import may_go_to
+from swiftthread.routing.retry_rules import is_bound_to_group, may_go_to
 from swiftthread.routing.timeouts import AttemptTimeouts
 from swiftthread.routing.urgency import UrgencyRanking
 
@@ -21,7 +21,8 @@
 LONE_CALL_SILENCE_FACTOR = 2
 
 
-class Selected(NamedTuple):
+@dataclass(slots=True)
+class Selected:
     """Send to this endpoint now."""
 
     endpoint: Endpoint
@@ -29,14 +30,16 @@
     """Whether the event travels in a call that was made in this turn."""
 
 
-class NoneAvailable(NamedTuple):
+@dataclass(slots=True)
+class NoneAvailable:
     """No endpoint may get the event now."""
 
     until: float
     """When one may; inf: after some outcome."""
 
 
-class Candidate(NamedTuple):
+@dataclass(slots=True)
+class Candidate:
     """An endpoint that may get the event, and when; inf: after some outcome."""
 
     endpoint: Endpoint
@@ -63,8 +66,9 @@
     def select(self, event: Event, now: float) -> Selected | NoneAvailable:
         """The endpoint for the next attempt of an event, or when there may be one."""
         candidates = []
+        is_bound = is_bound_to_group(event)
         for endpoint in event.destination.endpoints:
-            if not may_go_to(event, endpoint):
+            if is_bound and not may_go_to(event, endpoint):
                 continue
             if endpoint.rate_limiter.has_joinable_call_to(endpoint, now) and self.timeouts.may_share_call(
                 event, endpoint, now
@@ -126,14 +130,13 @@
         """Choose among routes with limits of their own: the one that loses least value, costs counted."""
 
         def benefit(candidate: Candidate) -> tuple[float, float]:
-            endpoint, available_at = candidate
-            limiter = endpoint.rate_limiter
-            start = max(available_at, now)
-            if available_at > now and limiter.rate:
+            limiter = candidate.endpoint.rate_limiter
+            start = max(candidate.available_at, now)
+            if candidate.available_at > now and limiter.rate:
                 # All that wait here wait for a better route's slot too: the queue's length says how long.
                 start = start + event.destination.pending_count / limiter.rate
             value = self.urgency.value_at(event, start + limiter.recent_latency_ms.value)
-            return value - endpoint.carriage_cost, -start
+            return value - candidate.endpoint.carriage_cost, -start
 
         best = max(candidates, key=benefit)
         if best.available_at <= now:
