--- a/swiftthread/routing/endpoint_list.py
+++ b/swiftthread/routing/endpoint_list.py
@@ -10,7 +10,7 @@
 from swiftthread.routing.messages import EndpointEntry
 from swiftthread.routing.rate_limiter import FleetSharing, RateLimiter
 from swiftthread.routing.recovery import RecoveryRamp
-from swiftthread.routing.settings import Settings
+from swiftthread.routing.settings import ListedRates, Settings
 
 # Warm-ups for which an endpoint that left the list is known, should it come back.
 KNOWN_WARM_UPS = 2
@@ -23,7 +23,7 @@
         self.settings = settings
         self.recovery = recovery
         self.sharing = FleetSharing.from_settings(settings)
-        self.has_listed_rates = settings.listed_rates in ("nominal", "rough")
+        self.has_listed_rates = settings.listed_rates in (ListedRates.NOMINAL, ListedRates.ROUGH)
         stream_types = settings.stream_types
         weight = sum(stream_type.priority_weight for stream_type in stream_types)
         self.carriage_costs = [
--- a/swiftthread/routing/rate_limiter.py
+++ b/swiftthread/routing/rate_limiter.py
@@ -12,7 +12,7 @@
 
 from swiftthread.routing.events import Call
 from swiftthread.routing.messages import LoadReport
-from swiftthread.routing.settings import Settings
+from swiftthread.routing.settings import ListedRates, Settings
 from swiftthread.routing.statistics import RecentCount, SlidingMedian, SmoothedRate
 
 if TYPE_CHECKING:
@@ -98,7 +98,7 @@
         )
         return cls(
             node_count=max(1, settings.node_count),
-            confidence=ROUGH_LIST_CONFIDENCE if settings.listed_rates == "rough" else 1.0,
+            confidence=ROUGH_LIST_CONFIDENCE if settings.listed_rates == ListedRates.ROUGH else 1.0,
             busy_span_ms=BUSY_SPAN_SHARE * weighted_objective_ms / weight if weight else DEFAULT_BUSY_SPAN_MS,
             longest_wait_ms=longest_wait_ms(settings),
         )
--- a/swiftthread/routing/retry_rules.py
+++ b/swiftthread/routing/retry_rules.py
@@ -6,11 +6,14 @@
 
 from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.events import Event
-from swiftthread.routing.settings import Effect, Settings
+from swiftthread.routing.settings import DeduplicationGroup, Effect, Settings
 
-# ms before a bound at which an event is answered; two turns of the caller.
+# ms before a bound at which an event is answered, at least.
 MIN_ANSWER_MARGIN_MS = 12.0
+# Turns of the caller before such a bound: one may come late.
 ANSWER_MARGIN_TICKS = 2
+# Groups of more than a single endpoint.
+KNOWN_GROUPS = (DeduplicationGroup.ALL, DeduplicationGroup.ZONE)
 
 
 def answer_margin_ms(settings: Settings) -> float:
@@ -23,7 +26,7 @@
 
     Those of its zone, or this one alone where the group of the stream type is not a known one.
     """
-    if event.stream_type.deduplication_group in ("all", "zone"):
+    if event.stream_type.deduplication_group in KNOWN_GROUPS:
         return endpoint.zone
     return endpoint.endpoint_id
 
@@ -33,7 +36,7 @@
     return (
         event.may_have_run_at is not None
         and event.stream_type.effect == Effect.DEDUPLICATED
-        and event.stream_type.deduplication_group != "all"
+        and event.stream_type.deduplication_group != DeduplicationGroup.ALL
     )
 
 
@@ -46,7 +49,8 @@
     """Whether a client that hands the event in again can do no harm."""
     stream_type = event.stream_type
     is_recognised_anywhere = (
-        stream_type.effect == Effect.DEDUPLICATED and stream_type.deduplication_group == "all"
+        stream_type.effect == Effect.DEDUPLICATED
+        and stream_type.deduplication_group == DeduplicationGroup.ALL
     )
     return event.may_have_run_at is None or stream_type.effect == Effect.IDEMPOTENT or is_recognised_anywhere
 
--- a/swiftthread/routing/settings.py
+++ b/swiftthread/routing/settings.py
@@ -16,6 +16,22 @@
     NON_IDEMPOTENT = "non-idempotent"
 
 
+class DeduplicationGroup(StrEnum):
+    """Which endpoints recognise each other's repeats. Any other value is as `CELL`."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class ListedRates(StrEnum):
+    """How far the rates of an endpoint list can be trusted. Any other value is as `OFF`."""
+
+    NOMINAL = "nominal"
+    ROUGH = "rough"
+    OFF = "off"
+
+
 class StreamType(NamedTuple):
     """Contract of a kind of events with its clients."""
 
@@ -26,8 +42,8 @@
     late_weight: float = 0.0
     """Share of that value that is left of a delivery just before the max age."""
     effect: str = Effect.NON_IDEMPOTENT
-    deduplication_group: str = "all"
-    """Which endpoints recognise each other's repeats: `all`, those of one `zone`, or each alone (`cell`)."""
+    deduplication_group: str = DeduplicationGroup.ALL.value
+    """A `DeduplicationGroup`: all endpoints, those of one zone, or each alone."""
     deduplication_window_ms: float = 0.0
     is_ordered: bool = False
 
@@ -50,8 +66,8 @@
     carriage_cost_by_zone: Sequence[float] = ()
     halves_late_value: bool = False
     """Value halves with each latency objective of delay, instead of falling in a straight line."""
-    listed_rates: str = "off"
-    """How far listed rates can be trusted: `nominal`, `rough` or `off`."""
+    listed_rates: str = ListedRates.OFF.value
+    """A `ListedRates`."""
     quotas: Sequence[float | None] = ()
     """Events per second of each tenant; None is no quota."""
     over_quota_weight: float = 1.0
