--- a/swiftthread/routing/events.py
+++ b/swiftthread/routing/events.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Hashable
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
@@ -11,6 +12,9 @@
     from swiftthread.routing.endpoint import Endpoint
     from swiftthread.routing.rate_limiter import RateLimiter
 
+GroupId = int | str
+"""A deduplication group: a zone, or an endpoint id."""
+
 
 @dataclass(slots=True, eq=False)
 class Destination:
@@ -39,7 +43,7 @@
 
     stream_type: StreamType
     destination: Destination
-    ordering_key: Any
+    ordering_key: Hashable
     """Events of one key are sent in the order they came; a false value is no key."""
     priority_weight: float
     latency_objective_at: float
@@ -55,8 +59,8 @@
     call: Call | None = None
     endpoint: Endpoint | None = None
     sent_at: float | None = None
-    sent_group: Any = None
+    sent_group: GroupId | None = None
     may_have_run_at: float | None = None
     """When the first attempt was sent that may have had an effect."""
-    may_have_run_group: Any = None
+    may_have_run_group: GroupId | None = None
     """The deduplication group of that attempt."""
--- a/swiftthread/routing/retry_rules.py
+++ b/swiftthread/routing/retry_rules.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from swiftthread.routing.endpoint import Endpoint
-from swiftthread.routing.events import Event
+from swiftthread.routing.events import Event, GroupId
 from swiftthread.routing.settings import DeduplicationGroup, Effect, Settings
 
 # ms before a bound at which an event is answered, at least.
@@ -21,7 +19,7 @@
     return max(MIN_ANSWER_MARGIN_MS, ANSWER_MARGIN_TICKS * settings.tick_ms)
 
 
-def deduplication_group(event: Event, endpoint: Endpoint) -> Any:
+def deduplication_group(event: Event, endpoint: Endpoint) -> GroupId:
     """Which endpoints recognise a repeat of an event sent here, by what outlasts a process.
 
     Those of its zone, or this one alone where the group of the stream type is not a known one.
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -13,14 +13,13 @@
 
 import math
 from collections.abc import Callable, Hashable, Iterable
-from typing import Any
 
 from swiftthread.routing import retry_rules
 from swiftthread.routing.admission import PendingCapacity, TenantQuotas, queue_drain_time_ms
 from swiftthread.routing.call_slots import CallSlots
 from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.endpoint_list import EndpointList
-from swiftthread.routing.events import Call, Destination, Event
+from swiftthread.routing.events import Call, Destination, Event, GroupId
 from swiftthread.routing.health import HealthTracker
 from swiftthread.routing.health_checks import HealthChecks
 from swiftthread.routing.idle_connections import IdleConnections
@@ -140,7 +139,7 @@
         destination_number: int,
         time_left_ms: float,
         tenant: int | None = None,
-        subject: Any = 0,
+        subject: Hashable = 0,
     ) -> Event:
         """Hold an event.
 
@@ -193,7 +192,7 @@
         """The event whose turn it is among those of an ordering key; None when none is pending."""
         return self.ordering.first(ordering_key)
 
-    def queue_class(self, event: Event) -> tuple[StreamType, Any]:
+    def queue_class(self, event: Event) -> tuple[StreamType, GroupId | None]:
         """Events of one destination for which this is equal are decided alike until one is sent."""
         return event.stream_type, event.may_have_run_group if retry_rules.is_bound_to_group(event) else None
 
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_connection_tables.py
@@ -1,5 +1,6 @@
-"""What is harmless in one instance and harmful in many that share an endpoint and see little each."""
+"""Connection tables of endpoints that many nodes share: harmless in one node, harmful in many."""
 
+from support.event_bursts import ONE
 from support.simulated_fleet import Fleet, Table
 from support.simulated_node import SimulatedNode
 
@@ -18,7 +19,7 @@
     assert len(fleet.lines("decline")) < 10
 
 
-def test_a_full_table_is_neither_a_refusal_nor_an_outage():
+def test_a_full_table_is_neither_a_rejection_nor_an_outage():
     """New connections turned away were taken for the limit: rates fell, two of them shut a destination."""
 
     def paced(outcome):
@@ -48,3 +49,16 @@
         node.decide(event, moment)
         node.record_outcome(event, SendOutcome.ACKED, moment + 50.0, 50.0, is_finished=True)
         assert [endpoint.endpoint_id for endpoint in node.endpoints_to_disconnect(moment + 50.0)] == closed
+
+
+def test_connections_are_closed_that_would_idle_out_unused():
+    """Hundreds of nodes kept a connection each after one call, and the endpoint's table stayed full."""
+    run = SimulatedNode(ONE, keepalive_ms=5000.0)
+    for ticket, moment in enumerate((10.0, 12000.0, 12400.0, 12800.0, 13200.0), 1):
+        run.at(moment, run.take, ticket)
+    run.play(20000.0).as_kept("closes")
+    for ticket in range(6, 66):
+        run.at(20000.0 + 120.0 * ticket, run.take, ticket)
+    run.play(30000.0)
+    closed = [float(line.split()[0]) for line in run.lines if "close idle" in line]
+    assert max(closed) < 25000.0  # one that is in use for most of the time is kept
--- a/tests/routing/test_list_retry.py
+++ b/tests/routing/test_list_polling.py
@@ -62,14 +62,14 @@
 
 
 @pytest.mark.parametrize("seed", range(1000, 6000, 1000))
-def test_instances_that_all_lost_their_list_do_not_keep_discovery_overbooked(seed):
+def test_nodes_that_all_lost_their_list_do_not_keep_discovery_overloaded(seed):
     """Repeated within a second, calls kept it at the edge of its time-out: 4 of 40 had a list after 20 s."""
     told = times_told(seed)
     assert told[NODES // 2] < 10000.0
     assert told[-1] < 25000.0
 
 
-def test_the_pause_before_the_next_call_doubles_to_the_told_time_and_starts_anew_with_a_list():
+def test_the_backoff_doubles_to_the_polling_bound_and_starts_anew_with_a_list():
     node = Router(Settings(polls_discovery=True, poll_within_ms=10000.0), 1)
     pauses = [node.list_request_failed(0.0) for _ in range(8)]
     for pause, mean in zip(pauses, (1000.0, 2000.0, 4000.0, *[20000.0 / 3] * 5), strict=True):
@@ -78,7 +78,7 @@
     assert node.list_request_failed(0.0) <= 1500.0
 
 
-def test_a_local_agent_that_pushes_the_list_is_asked_again_at_once_however_often_it_failed():
+def test_a_local_agent_that_pushes_the_list_is_polled_again_at_once_however_often_it_failed():
     node = Router(Settings(poll_within_ms=10000.0), 1)
     pauses = [node.list_request_failed(0.0) for _ in range(50)]
     assert max(pauses) <= 300.0 and max(pauses) - min(pauses) > 100.0
--- /dev/null
+++ b/tests/routing/test_long_day.py
@@ -0,0 +1,68 @@
+"""What the tables of the node hold after a long day."""
+
+import socket
+
+import anyio
+from support.simulated_node import SimulatedNode
+from support.stream_types import IDEMPOTENT
+
+from swiftthread.client.discovery_client import DiscoveryClient
+from swiftthread.network.buffer_pool import BufferPool
+from swiftthread.network.connection import Connection
+from swiftthread.network.connection_pool import ConnectionPool
+from swiftthread.storage.pending_event import PendingEvent
+from swiftthread.storage.write_ahead_log import WriteAheadLog
+
+
+def test_tables_empty_as_endpoints_ordering_keys_and_ids_come_and_go(tmp_path):
+    """A long day: endpoints under ever-new ids at one address, ever-new subjects, events and keys."""
+    anyio.run(_a_long_day, tmp_path)
+
+
+async def _a_long_day(folder):
+    run = SimulatedNode([], stream_types=[IDEMPOTENT._replace(is_ordered=True)], warm_up_ms=500.0)
+    module, discovery = run.session.router, DiscoveryClient(("127.0.0.1", 1), None, {}, {}, 0.0, 0.0)
+    log, lines = (
+        WriteAheadLog(str(folder), 3_000_000, lambda: run.now),
+        ConnectionPool(lambda: run.now, 1000.0, 50),
+    )
+    door = socket.create_server(("127.0.0.1", 0))
+    for number in range(300):
+        row = {
+            "id": f"s-{number}",
+            "addr": f"127.0.0.1:{door.getsockname()[1]}",
+            "cell": 0,
+            "state": "SERVING",
+        }
+        gone = {"id": f"s-{number - 1}", "addr": row["addr"], "cell": 0, "state": "DELETED"}
+        run.at(
+            200.0 * number,
+            run.list,
+            *discovery.parse_list({"version": number, "full": False, "servers": [row, gone]}),
+        )
+        run.at(200.0 * number, lambda ticket=number: run.take(ticket, subject=ticket + 1))
+        run.play(200.0 * number + 199.0)
+        held = PendingEvent(f"evt-{number}", f"key-{number}", "notice", 0, run.now + 5000.0, 0, 0, b"body")
+        assert log.matches_known_event(held) is None and log.append_taken(held) and log.append_sent(held, 0)
+        log.append_ended(held)
+        assert log.matches_known_event(held)
+        line = Connection(socket.create_connection(door.getsockname()), BufferPool(), None)
+        door.accept()[0].close()
+        lines.release((row["id"], discovery.addresses[row["id"]]), line)
+    lines.close_all()
+    sizes = {
+        "endpoints": len(module.endpoints),
+        "lost": len(module.health.down_endpoints),
+        "subjects": len(module.ordering.queues),
+        "destinations": len(module.destinations),
+        "events": len(run.session.pending),
+        "addresses": len(discovery.addresses),
+        "held": len(log.pending),
+        "over": len(log.recently_ended),
+        "idle": len(lines.idle),
+    }
+    log.close(), door.close()
+    assert len(run.lines) >= 600 and sizes["addresses"] == sizes["destinations"] == 1
+    assert (
+        sizes["endpoints"] < 10 and sizes["subjects"] < 10 and sizes["over"] < 20 and sum(sizes.values()) < 40
+    ), sizes
--- /dev/null
+++ b/tests/routing/test_ordering_keys.py
@@ -0,0 +1,32 @@
+"""Turns of events that share an ordering key."""
+
+from support.event_bursts import burst
+from support.simulated_node import SimulatedNode
+from support.stream_types import IDEMPOTENT
+
+from swiftthread.routing.messages import SendOutcome
+
+
+def test_events_of_an_ordering_key_go_one_at_a_time_and_rest_after_a_time_out():
+    def answers(ticket, endpoint, now):
+        return None if now < 100.0 else (300.0, SendOutcome.ACKED)
+
+    run = SimulatedNode(
+        [(1, 0, 0, 0, 50.0, True)],
+        answers,
+        stream_types=[IDEMPOTENT._replace(is_ordered=True)],
+        ordering_rest_ms=2500.0,
+    )
+    burst(run, (1, 2, 3), subject=9)
+    burst(run, (4,), 20.0, subject=8).play(9000.0).as_kept("order")
+
+
+def test_order_waits_for_the_send_of_a_withdrawn_event():
+    run = SimulatedNode(
+        [(1, 0, 0, 0, 50.0, True)],
+        lambda t, s, n: (800.0, SendOutcome.ACKED),
+        stream_types=[IDEMPOTENT._replace(is_ordered=True)],
+    )
+    burst(run, (1, 2), subject=9)
+    run.at(100.0, run.withdraw, 1)
+    run.play(3000.0).as_kept("order_withdrawn")
--- a/tests/routing/test_overload.py
+++ b/tests/routing/test_overload.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("nodes, limit, least", [(200, 60.0, 0.45), (60, 30.0, 0.5), (40, 25.0, 0.53)])
-def test_instances_told_to_wait_leave_a_limit_that_counts_refused_calls(nodes, limit, least):
+def test_nodes_given_a_retry_after_leave_a_limit_that_counts_rejected_calls(nodes, limit, least):
     """They came back together at half their rates: refused calls kept the limit used up, 0.32 was served."""
     shares = []
     for seed in range(4):
@@ -23,7 +23,7 @@
     assert sum(shares) / len(shares) > least, shares
 
 
-def test_an_instance_told_to_wait_keeps_to_its_part_of_a_listed_limit_and_finds_back():
+def test_a_node_given_a_retry_after_keeps_to_its_share_of_a_listed_limit_and_finds_back():
     node = (
         Fleet(20, [(ROUTE, 0, 0, 0, 40.0, True)], {ROUTE: Limited(40.0)}).play(0.0).members[0].session.router
     )
--- a/tests/routing/test_cold_return.py
+++ b/tests/routing/test_recovery_ramp.py
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("endpoints", [1, 3])
 @pytest.mark.parametrize("limit, load, warm_up", [(LIMIT, LOAD, WARM_UP_MS), (6.0, 9.0, 13000.0)])
 @pytest.mark.parametrize("seed", range(8))
-def test_the_sum_of_all_instances_keeps_the_fall_budget(seed, limit, load, warm_up, endpoints):
+def test_the_sum_of_all_nodes_keeps_the_recovery_budget(seed, limit, load, warm_up, endpoints):
     """The fleet days: it falls under more than N + 2 roots of N + 2 calls in the span of the settings."""
     back = returned(seed, endpoints, limit, load, warm_up_ms=warm_up)
     for begin in range(0, int(warm_up), 250):
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("endpoints", [1, 3])
-def test_the_sum_of_all_instances_uses_the_fall_budget(endpoints):
+def test_the_sum_of_all_nodes_uses_the_recovery_budget(endpoints):
     """Each endpoint without a failure was tried at once, and each trial put the next off: none for 8 s.
 
     And an instance whose first trial came late counted the warm-up from there on.
--- /dev/null
+++ b/tests/routing/test_retry_rules.py
@@ -0,0 +1,43 @@
+"""What may follow an attempt, and when an event is given up."""
+
+import pytest
+from support.event_bursts import ONE, TWO, burst
+from support.simulated_node import SimulatedNode
+from support.stream_types import DEDUPLICATED, IDEMPOTENT, NON_IDEMPOTENT
+
+from swiftthread.routing.messages import SendOutcome
+
+
+@pytest.mark.parametrize(
+    "name, stream, endpoints",
+    [
+        ("maybe_idempotent", IDEMPOTENT, ONE),
+        ("maybe_non_idempotent", NON_IDEMPOTENT, ONE),
+        ("maybe_in_group", DEDUPLICATED._replace(deduplication_group="zone"), TWO),
+        ("maybe_anywhere", DEDUPLICATED, TWO),
+    ],
+)
+def test_what_follows_a_send_that_may_have_run(name, stream, endpoints):
+    def answers(ticket, endpoint, now):
+        return (50.0, SendOutcome.RESET) if now < 1000.0 else (50.0, SendOutcome.ACKED)
+
+    burst(SimulatedNode(endpoints, answers, stream_types=[stream]), (1,)).play(20000.0).as_kept(name)
+
+
+def test_the_window_ends_a_deduplicated_event_that_may_have_run():
+    def answers(ticket, endpoint, now):
+        return (50.0, SendOutcome.FAILED) if now < 100.0 else (50.0, SendOutcome.RATE_LIMITED, 9000.0)
+
+    streams = [DEDUPLICATED._replace(deduplication_group="zone")]
+    burst(SimulatedNode(ONE, answers, stream_types=streams), (1,)).play(20000.0).as_kept("window")
+
+
+def test_a_pending_event_is_answered_before_its_max_age():
+    run = SimulatedNode(
+        [(1, 0, 0, 0, 1.0, True)],
+        may_send_retry_after=True,
+        max_retry_after_ms=3000.0,
+        stream_types=[IDEMPOTENT],
+    )
+    burst(run, (1, 2, 3, 4), left=2500.0)
+    burst(run, (5,), 20.0, destination=3, left=400.0).play(9000.0).as_kept("max_age")
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -198,9 +198,8 @@
     """At each turn of a random day, a copy of module and events is asked the old way."""
     monkeypatch.setattr(pending_queues, "RESORT_MS", -1.0)
     monkeypatch.setattr(pending_queues, "RESORT_MS_EACH", 0.0)
-    monkeypatch.setattr(
-        health, "STREAM_TYPE_EJECTION_MS", 0.0
-    )  # the end of a shun wakes nobody; it never did
+    # The end of an ejection wakes nobody; it never did.
+    monkeypatch.setattr(health, "STREAM_TYPE_EJECTION_MS", 0.0)
     rng = random.Random(seed)
     made = module(
         4,
