--- a/tests/routing/test_connection_tables.py
+++ b/tests/routing/test_connection_tables.py
@@ -15,7 +15,7 @@
     fleet = Fleet(100, ROUTE, {"a": table}, keepalive_ms=5000.0)
     fleet.load(1, 60.0, 0.0, 20000.0)
     fleet.play(30000.0)
-    assert len(table.calls) > 1000 and table.share_crowded() < 0.05
+    assert len(table.calls) > 1000 and table.share_rejected() < 0.05
     assert len(fleet.lines("decline")) < 10
 
 
@@ -24,19 +24,19 @@
 
     def paced(outcome):
         run = SimulatedNode(ROUTE, node_count=20)
-        key = run.play(0.0).session.router.endpoints["a"].rate_limiter
-        rate, event = key.rate, run.session.router.add_event(0.0, 0, 0, 10000.0)
+        limiter = run.play(0.0).session.router.endpoints["a"].rate_limiter
+        rate, event = limiter.rate, run.session.router.add_event(0.0, 0, 0, 10000.0)
         for moment in (0.0, 1500.0, 3000.0, 4500.0):
             run.session.router.decide(event, moment)
             run.session.router.record_outcome(event, outcome, moment + 30.0, 30.0)
-        return key.rate / rate, run.session.router.endpoints["a"].is_down
+        return limiter.rate / rate, run.session.router.endpoints["a"].is_down
 
     assert paced(SendOutcome.CONNECTION_LIMIT) == (1.0, False)
     run = SimulatedNode([("a", 0, 0, 0, 0.0, True)]).play(0.0)
     event = run.session.router.add_event(0.0, 0, 0, 10000.0)
     run.session.router.decide(event, 0.0)
     run.session.router.record_outcome(event, SendOutcome.CONNECTION_LIMIT, 30.0, 30.0)
-    assert run.session.router.decide(event, 150.0) == Defer()  # an unpaced key has no slot to wait for
+    assert run.session.router.decide(event, 150.0) == Defer()  # an unpaced limiter has no slot to wait for
     slowed, down = paced(SendOutcome.RATE_LIMITED)
     assert slowed < 0.5 and down
 
--- a/tests/routing/test_list_polling.py
+++ b/tests/routing/test_list_polling.py
@@ -1,4 +1,4 @@
-"""Many instances ask one discovery for the list after all of them have lost theirs."""
+"""Many nodes poll one discovery for the list after all of them have lost theirs."""
 
 import heapq
 from itertools import count
@@ -10,15 +10,15 @@
 from swiftthread.routing.settings import Settings
 
 NODES = 40
-CALLS_PER_S = 6.0  # discovery answers each instance once in 6.7 s; the bench's page gives 2 to 8 s
-REFUSAL_SHARE = 0.2  # of an answer's work, for a call turned away
-TIMEOUT_MS = 2000.0  # discovery turns a call away that it cannot answer within this time
+CALLS_PER_S = 6.0  # discovery answers each node once in 6.7 s; the bench's page gives 2 to 8 s
+REJECTION_SHARE = 0.2  # of an answer's work, for a rejected call
+TIMEOUT_MS = 2000.0  # discovery rejects a call that it cannot answer within this time
 TRIP_MS = 28.0  # there and back
 END_MS = 40000.0
 
 
-class Overbooked:
-    """A discovery that answers one call after the other, and turns away what would wait too long."""
+class OverloadedDiscovery:
+    """A discovery that answers one call after the other, and rejects what would wait too long."""
 
     def __init__(self):
         self.busy_until = 0.0
@@ -28,14 +28,14 @@
         work = 1000.0 / CALLS_PER_S
         done = max(now, self.busy_until) + work
         if done - now > TIMEOUT_MS:
-            self.busy_until = max(now, self.busy_until) + REFUSAL_SHARE * work
+            self.busy_until = max(now, self.busy_until) + REJECTION_SHARE * work
             return now + TRIP_MS, False
         self.busy_until = done
         return min(done + TRIP_MS, now + TIMEOUT_MS), done + TRIP_MS <= now + TIMEOUT_MS
 
 
-def times_told(seed):
-    """When each of the instances has the list, if all ask at one moment; END_MS for those that never do."""
+def times_listed(seed):
+    """When each of the nodes has the list, if all ask at one moment; END_MS for those that never do."""
     nodes = [
         Router(
             Settings(
@@ -45,7 +45,7 @@
         )
         for i in range(NODES)
     ]
-    discovery, told, number = Overbooked(), [END_MS] * NODES, count()
+    discovery, listed_at, number = OverloadedDiscovery(), [END_MS] * NODES, count()
     asks = [(0.0, next(number), i) for i in range(NODES)]
     while asks:
         now, _, i = heapq.heappop(asks)
@@ -55,18 +55,18 @@
         answered_at, has_list = discovery.call(now)
         if has_list:
             nodes[i].apply_endpoint_list([], True, answered_at)
-            told[i] = answered_at
+            listed_at[i] = answered_at
         else:
             heapq.heappush(asks, (nodes[i].list_request_failed(answered_at), next(number), i))
-    return sorted(told)
+    return sorted(listed_at)
 
 
 @pytest.mark.parametrize("seed", range(1000, 6000, 1000))
 def test_nodes_that_all_lost_their_list_do_not_keep_discovery_overloaded(seed):
     """Repeated within a second, calls kept it at the edge of its time-out: 4 of 40 had a list after 20 s."""
-    told = times_told(seed)
-    assert told[NODES // 2] < 10000.0
-    assert told[-1] < 25000.0
+    listed_at = times_listed(seed)
+    assert listed_at[NODES // 2] < 10000.0
+    assert listed_at[-1] < 25000.0
 
 
 def test_the_backoff_doubles_to_the_polling_bound_and_starts_anew_with_a_list():
--- a/tests/routing/test_long_day.py
+++ b/tests/routing/test_long_day.py
@@ -15,22 +15,22 @@
 
 
 def test_tables_empty_as_endpoints_ordering_keys_and_ids_come_and_go(tmp_path):
-    """A long day: endpoints under ever-new ids at one address, ever-new subjects, events and keys."""
+    """A long day: endpoints under ever-new ids at one address, ever-new ordering keys, events and keys."""
     anyio.run(_a_long_day, tmp_path)
 
 
 async def _a_long_day(folder):
     run = SimulatedNode([], stream_types=[IDEMPOTENT._replace(is_ordered=True)], warm_up_ms=500.0)
-    module, discovery = run.session.router, DiscoveryClient(("127.0.0.1", 1), None, {}, {}, 0.0, 0.0)
+    router, discovery = run.session.router, DiscoveryClient(("127.0.0.1", 1), None, {}, {}, 0.0, 0.0)
     log, lines = (
         WriteAheadLog(str(folder), 3_000_000, lambda: run.now),
         ConnectionPool(lambda: run.now, 1000.0, 50),
     )
-    door = socket.create_server(("127.0.0.1", 0))
+    listener = socket.create_server(("127.0.0.1", 0))
     for number in range(300):
         row = {
             "id": f"s-{number}",
-            "addr": f"127.0.0.1:{door.getsockname()[1]}",
+            "addr": f"127.0.0.1:{listener.getsockname()[1]}",
             "cell": 0,
             "state": "SERVING",
         }
@@ -46,23 +46,26 @@
         assert log.matches_known_event(held) is None and log.append_taken(held) and log.append_sent(held, 0)
         log.append_ended(held)
         assert log.matches_known_event(held)
-        line = Connection(socket.create_connection(door.getsockname()), BufferPool(), None)
-        door.accept()[0].close()
+        line = Connection(socket.create_connection(listener.getsockname()), BufferPool(), None)
+        listener.accept()[0].close()
         lines.release((row["id"], discovery.addresses[row["id"]]), line)
     lines.close_all()
     sizes = {
-        "endpoints": len(module.endpoints),
-        "lost": len(module.health.down_endpoints),
-        "subjects": len(module.ordering.queues),
-        "destinations": len(module.destinations),
+        "endpoints": len(router.endpoints),
+        "down endpoints": len(router.health.down_endpoints),
+        "ordering keys": len(router.ordering.queues),
+        "destinations": len(router.destinations),
         "events": len(run.session.pending),
         "addresses": len(discovery.addresses),
         "held": len(log.pending),
         "over": len(log.recently_ended),
         "idle": len(lines.idle),
     }
-    log.close(), door.close()
+    log.close(), listener.close()
     assert len(run.lines) >= 600 and sizes["addresses"] == sizes["destinations"] == 1
     assert (
-        sizes["endpoints"] < 10 and sizes["subjects"] < 10 and sizes["over"] < 20 and sum(sizes.values()) < 40
+        sizes["endpoints"] < 10
+        and sizes["ordering keys"] < 10
+        and sizes["over"] < 20
+        and sum(sizes.values()) < 40
     ), sizes
--- a/tests/routing/test_outages.py
+++ b/tests/routing/test_outages.py
@@ -109,13 +109,15 @@
 
 
 def test_two_rejections_over_more_than_two_seconds_mean_shut():
-    """Nodes that met a shut destination with two refused calls went on at their rate and pushed it over."""
+    """Nodes that met a shut destination with two rejected calls went on at their rate and pushed it over."""
 
     def answers(ticket, endpoint, now):
-        # Both calls are out before either is refused: after a refusal the next waits for seconds.
-        refused_after = {1: 600.0, 2: 2400.0}.get(ticket, 50.0)
+        # Both calls are out before either is rejected: after a rejection the next waits for seconds.
+        rejected_after = {1: 600.0, 2: 2400.0}.get(ticket, 50.0)
         return (
-            (refused_after, SendOutcome.RATE_LIMITED, 1386.0) if now < 10000.0 else (100.0, SendOutcome.ACKED)
+            (rejected_after, SendOutcome.RATE_LIMITED, 1386.0)
+            if now < 10000.0
+            else (100.0, SendOutcome.ACKED)
         )
 
     def met(seed):
--- a/tests/routing/test_pacing.py
+++ b/tests/routing/test_pacing.py
@@ -31,7 +31,7 @@
 
 
 def test_a_fall_of_the_reported_limit_is_followed_at_once():
-    """A limit fell to a seventh; refused calls used it up while the nodes kept to the listed rate."""
+    """A limit fell to a seventh; rejected calls used it up while the nodes kept to the listed rate."""
     run = SimulatedNode([(1, 0, 0, 0, 20.0, True)], node_count=2)
     node, endpoint = run.session.router, (run.play(1.0), run.session.router.endpoints[1])[1]
     for moment, limit in ((10.0, 20.0), (20.0, 21.0), (30.0, 3.0)):
--- a/tests/routing/test_recovery_ramp.py
+++ b/tests/routing/test_recovery_ramp.py
@@ -1,18 +1,24 @@
-"""A destination that returns cold, under the sum of what thirty instances send that share nothing."""
+"""A destination that returns cold, under the sum of what thirty nodes send that share nothing."""
 
 import math
 
 import pytest
 from support.simulated_fleet import Fleet, Returning
 
-NODES = 30  # instances
-LIMIT, LOAD = 20.0, 18.0  # per s: calls that the destination takes, events of all instances
-OUT_MS, BACK_MS = 10000.0, 15000.0  # the outage
-MULTIPLE, COLD_FROM, WARM_UP_MS, SPAN_MS = 2.0, 0.2, 8000.0, 2000.0  # the settings' figures of the fall
+NODES = 30
+LIMIT = 20.0  # calls per s that the destination takes
+LOAD = 18.0  # events per s of all nodes
+OUT_MS = 10000.0  # the outage begins
+BACK_MS = 15000.0  # and ends
+# The recovery ramp as the settings name it.
+MULTIPLE = 2.0
+COLD_FROM = 0.2
+WARM_UP_MS = 8000.0
+SPAN_MS = 2000.0
 
 
 def allowed(begin, end, limit=LIMIT, warm_up=WARM_UP_MS):
-    """Calls that the settings allow all instances together, from `begin` to `end` ms after the return."""
+    """Calls that the settings allow all nodes together, from `begin` to `end` ms after the return."""
 
     def area(at):
         cold = min(at, warm_up)
@@ -22,7 +28,7 @@
 
 
 def returned(seed, endpoints, limit=LIMIT, load=LOAD, **terms):
-    """The endpoint after a load by chance: an instance without events in the outage has not seen it."""
+    """The endpoint after a load by chance: a node without events in the outage has not seen it."""
     back = Returning(OUT_MS, BACK_MS)
     routes = [(f"s-{number}", 0, 0, 0, limit, True) for number in range(endpoints)]
     fleet = Fleet(NODES, routes, {ident: back for ident, *_ in routes}, **terms)
@@ -35,7 +41,7 @@
 @pytest.mark.parametrize("limit, load, warm_up", [(LIMIT, LOAD, WARM_UP_MS), (6.0, 9.0, 13000.0)])
 @pytest.mark.parametrize("seed", range(8))
 def test_the_sum_of_all_nodes_keeps_the_recovery_budget(seed, limit, load, warm_up, endpoints):
-    """The fleet days: it falls under more than N + 2 roots of N + 2 calls in the span of the settings."""
+    """The fleet days: it fails under more than N + 2 roots of N + 2 calls in the span of the settings."""
     back = returned(seed, endpoints, limit, load, warm_up_ms=warm_up)
     for begin in range(0, int(warm_up), 250):
         most = allowed(begin, begin + SPAN_MS, limit, warm_up)
@@ -47,7 +53,7 @@
 def test_the_sum_of_all_nodes_uses_the_recovery_budget(endpoints):
     """Each endpoint without a failure was tried at once, and each trial put the next off: none for 8 s.
 
-    And an instance whose first trial came late counted the warm-up from there on.
+    And a node whose first trial came late counted the warm-up from there on.
     """
     calls = [returned(seed, endpoints) for seed in range(8)]
     for begin, end, least in ((0.0, 4000.0, 0.5), (4000.0, 8000.0, 0.65)):
