--- a/swiftthread/client/batch.py
+++ b/swiftthread/client/batch.py
@@ -10,7 +10,7 @@
 from swiftthread.client.send_result import SendResult
 
 if TYPE_CHECKING:
-    from swiftthread.routing.router import Endpoint
+    from swiftthread.routing.endpoint import Endpoint
     from swiftthread.storage.pending_event import PendingEvent
 
 
--- a/swiftthread/client/discovery_client.py
+++ b/swiftthread/client/discovery_client.py
@@ -11,6 +11,7 @@
 from swiftthread.client.endpoint_list import EndpointList, EndpointListUpdate, MalformedEndpointList
 from swiftthread.client.http_exchange import UNREADABLE, HttpRequest, client_parser, encode_request
 from swiftthread.client.json_stream import MAX_OBJECT_BYTES, BodyLineReader, JsonAssembler
+from swiftthread.network.address import Address
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection import Connection, ConnectionClosed, connect
 from swiftthread.routing.messages import EndpointEntry
@@ -52,7 +53,7 @@
         self.watch_scope = anyio.CancelScope()
 
     @property
-    def addresses(self) -> Mapping[str, tuple[str, int]]:
+    def addresses(self) -> Mapping[str | int, Address]:
         """The mapping of endpoint ids to (host, port), which is kept up to date in place."""
         return self.endpoint_list.addresses
 
--- a/swiftthread/client/endpoint_call.py
+++ b/swiftthread/client/endpoint_call.py
@@ -19,8 +19,8 @@
 from swiftthread.routing.messages import SendOutcome
 
 if TYPE_CHECKING:
+    from swiftthread.routing.endpoint import Endpoint
     from swiftthread.routing.events import Event
-    from swiftthread.routing.router import Endpoint
 
 Clock = Callable[[], float]
 """Returns a time in ms."""
--- a/swiftthread/client/endpoint_client.py
+++ b/swiftthread/client/endpoint_client.py
@@ -15,6 +15,7 @@
 from swiftthread.client.endpoint_response import parse_load_report, read_results
 from swiftthread.client.http_exchange import HttpRequest, HttpResponse, exchange
 from swiftthread.client.send_result import SendResult
+from swiftthread.network.address import Address
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection import Connection, ConnectionClosed
 from swiftthread.network.connection_pool import ConnectionPool
@@ -23,8 +24,8 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
+    from swiftthread.routing.endpoint import Endpoint
     from swiftthread.routing.events import Call
-    from swiftthread.routing.router import Endpoint
     from swiftthread.storage.pending_event import PendingEvent
 
 DEADLINE_TOLERANCE_MS = 1.0  # a send whose time-out falls so close to its deadline is the event's last
@@ -42,7 +43,7 @@
         buffers: BufferPool,
         clock: Clock,
         wall_clock: Clock,
-        addresses: Mapping[str, tuple[str, int]],
+        addresses: Mapping[str | int, Address],
         connect_timeout_ms: float,
         report_fields: Collection[str],
         send_deadline: SendDeadline,
--- a/swiftthread/client/endpoint_connections.py
+++ b/swiftthread/client/endpoint_connections.py
@@ -8,12 +8,13 @@
 import h11
 
 from swiftthread.client.http_exchange import HttpResponse, client_parser
+from swiftthread.network.address import Address
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection import Connection, ConnectionClosed, connect
 from swiftthread.network.connection_pool import ConnectionPool, PoolKey
 
 if TYPE_CHECKING:
-    from swiftthread.routing.router import Endpoint
+    from swiftthread.routing.endpoint import Endpoint
 
 
 class EndpointConnections:
@@ -25,7 +26,7 @@
         self,
         pool: ConnectionPool,
         buffers: BufferPool,
-        addresses: Mapping[str, tuple[str, int]],
+        addresses: Mapping[str | int, Address],
         connect_timeout_ms: float,
     ) -> None:
         self.pool = pool
--- a/swiftthread/client/endpoint_list.py
+++ b/swiftthread/client/endpoint_list.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from swiftthread.client.http_exchange import UNREADABLE
-from swiftthread.network.address import parse_address
+from swiftthread.network.address import Address, parse_address
 from swiftthread.routing.messages import EndpointEntry
 
 Value = TypeVar("Value")
@@ -53,7 +53,7 @@
         self.kind_numbers = kind_numbers
         self.zone_numbers = zone_numbers
         self.version = 0
-        self.addresses: dict[str, tuple[str, int]] = {}
+        self.addresses: dict[str | int, Address] = {}
         self.unreadable_in_a_row = 0
         self._entries: dict[str, EndpointEntry] = {}  # endpoint id -> its entry as last read
         # Zone name that the settings do not know, or id of an endpoint without one -> number.
--- a/swiftthread/routing/messages.py
+++ b/swiftthread/routing/messages.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from swiftthread.routing.router import Endpoint
+    from swiftthread.routing.endpoint import Endpoint
 
 
 class SendOutcome(StrEnum):
@@ -41,6 +41,13 @@
 )
 """Outcomes after which the event surely had no effect."""
 
+MAY_HAVE_RUN = (SendOutcome.FAILED, SendOutcome.TIMED_OUT, SendOutcome.RESET, SendOutcome.CANCELLED)
+"""Outcomes after which the event may have had an effect, or may still have one."""
+
+
+UNRELATED_TO_HEALTH = (SendOutcome.CANCELLED, SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT)
+"""Outcomes that say nothing of the endpoint."""
+
 
 class Send(NamedTuple):
     """Send the event to this endpoint, and stop waiting after `timeout_ms`."""
--- a/swiftthread/service/node.py
+++ b/swiftthread/service/node.py
@@ -11,7 +11,8 @@
 from swiftthread.client.endpoint_client import EndpointClient
 from swiftthread.client.result_notifier import ResultNotifier
 from swiftthread.network.connection_pool import ConnectionPool
-from swiftthread.routing.router import Endpoint, Router
+from swiftthread.routing.endpoint import Endpoint
+from swiftthread.routing.router import Router
 from swiftthread.server.http_server import HttpServer
 from swiftthread.service.admission import AdmissionController
 from swiftthread.service.clocks import Clock
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -8,6 +8,7 @@
 
 import heapq
 import math
+from collections.abc import Hashable
 from itertools import count
 from typing import NamedTuple
 
@@ -66,7 +67,7 @@
         # Decided in this tick; emptied at its end, or at the next one's where an error broke it off.
         self._decided: list[EventDecision] = []
         # Ordered set of the ordering keys of which an event has left; emptied by each tick.
-        self._released_ordering_keys: dict[int, bool] = {}
+        self._released_ordering_keys: dict[Hashable, bool] = {}
 
     def __len__(self) -> int:
         return len(self.group_of)
--- a/swiftthread/storage/pending_event.py
+++ b/swiftthread/storage/pending_event.py
@@ -15,11 +15,11 @@
 
     Attributes:
         at: When it was sent, in Unix ms.
-        group: Number of the deduplication group that it was sent to; None where there is none.
+        group: The deduplication group that it was sent to, a zone or an endpoint; None where there is none.
     """
 
     at: float
-    group: int | None
+    group: int | str | None
 
 
 UNKNOWN_EXECUTION = PossibleExecution(0.0, None)
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -118,7 +118,7 @@
         self._table.add(pending, len(data))
         return True
 
-    def append_sent(self, pending: PendingEvent, group: int | None) -> bool:
+    def append_sent(self, pending: PendingEvent, group: int | str | None) -> bool:
         """Note a send before its first byte; False when it must not go, for the log cannot be written."""
         send = PossibleExecution(self._wall_clock(), group)
         if not self._try_append(pending, sent_record(pending.event_id, send)):
--- a/tests/client/test_health_check.py
+++ b/tests/client/test_health_check.py
@@ -6,9 +6,9 @@
 from swiftthread.client.endpoint_client import EndpointClient
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection_pool import ConnectionPool
+from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.events import Destination
 from swiftthread.routing.messages import SendOutcome
-from swiftthread.routing.router import Endpoint
 
 
 def health_outcome(moves):
--- a/tests/routing/test_send_deadline_batch.py
+++ b/tests/routing/test_send_deadline_batch.py
@@ -1,7 +1,5 @@
 """Events with different deadlines in one call."""
 
-import math
-
 import pytest
 from support.simulated_node import SimulatedNode
 
@@ -13,12 +11,12 @@
     node = run.session.router
     one, two = [node.add_event(0.0, 0, 0, 9000.0) for _ in range(2)]
     assert node.decide(one, 0.0).endpoint is node.decide(two, 0.0).endpoint and one.call is two.call
-    due = node.endpoints["a"].rate_limiter.due
+    due = node.endpoints["a"].rate_limiter.next_slot_at
     node.record_outcome(one, SendOutcome.NOT_SENT, 10.0, 10.0)
     node.record_outcome(two, SendOutcome.ACKED, 50.0, 50.0)
     assert (
         node.endpoints["a"].acked_at == 50.0
-        and node.endpoints["a"].rate_limiter.due == due
+        and node.endpoints["a"].rate_limiter.next_slot_at == due
         and one.attempts == 0
     )
 
@@ -28,7 +26,7 @@
     run = SimulatedNode([("a", 0, 0, 0, 4.0, True)], batch_size_by_kind=[5]).play(0.0)
     node = run.session.router
     for short_first in (True, False):
-        node.endpoints["a"].rate_limiter.due = 0.0
+        node.endpoints["a"].rate_limiter.next_slot_at = 0.0
         events = [
             node.add_event(0.0, 0, 0, left if short_first == number else 9000.0) for number in (True, False)
         ]
@@ -37,4 +35,4 @@
             first,
             second,
         ]
-        node.endpoints["a"].rate_limiter.ride = (None, -math.inf, 0)
+        node.endpoints["a"].rate_limiter.shared_call = None
--- a/tests/routing/test_send_deadline_relisted.py
+++ b/tests/routing/test_send_deadline_relisted.py
@@ -17,14 +17,14 @@
     node.apply_endpoint_list([("a", 0, 0, first, 4.0, True)], True, 0.0)
     event = node.add_event(0.0, 0, 0, 9000.0)
     old = node.decide(event, 0.0).endpoint
-    node._told(old.rate_limiter, 3000.0)
+    old.rate_limiter.apply_retry_after(3000.0, node.random_uniform)
     node.apply_endpoint_list([("a", 0, 0, then, 4.0, True)], False, 10.0)
     new = node.endpoints["a"]
     assert (
         new is not old
         and (new.has_separate_route, new.batch_size) == (then == 1, 1 if then else 5)
-        and new.rate_limiter.blocked == 3000.0
+        and new.rate_limiter.retry_after_until == 3000.0
     )
     assert node.send_deadline(event, old, 3500.0) == -math.inf
     node.record_outcome(event, SendOutcome.TIMED_OUT, 3600.0, 3600.0)
-    assert node.down_endpoints == {} and not new.is_down and new.calls_in_flight == 0
+    assert node.health.down_endpoints == {} and not new.is_down and new.calls_in_flight == 0
--- a/tests/service/test_pending_queues.py
+++ b/tests/service/test_pending_queues.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from swiftthread.routing import router as router_module
+from swiftthread.routing import health
 from swiftthread.routing.messages import Defer, Reject, Send, SendOutcome
 from swiftthread.routing.router import Router
 from swiftthread.routing.settings import Effect, Settings, StreamType
@@ -295,7 +295,8 @@
 def test_what_is_decided_is_what_would_be_if_all_were_asked(seed, monkeypatch):
     monkeypatch.setattr(queue_group, "RESORT_INTERVAL_MS", -1.0)
     monkeypatch.setattr(queue_group, "RESORT_INTERVAL_PER_ENTRY_MS", 0.0)
-    monkeypatch.setattr(router_module, "SHUN_MS", 0.0)  # the end of a shun wakes nobody; it never did
+    # The end of an ejection wakes nobody; it never did.
+    monkeypatch.setattr(health, "STREAM_TYPE_EJECTION_MS", 0.0)
     run = RandomRun(seed)
     run.play()
     assert run.decided_count > 150 and run.compared_count > 5 and len(run.queues) == len(run.pending)
