--- a/swiftthread/routing/statistics.py
+++ b/swiftthread/routing/statistics.py
@@ -8,6 +8,8 @@
 class SmoothedRate:
     """An exponentially weighted rate of events, in events per millisecond."""
 
+    __slots__ = ("_counted_at", "_rate", "span_ms")
+
     def __init__(self, span_ms: float) -> None:
         self.span_ms = span_ms
         self._rate = 0.0
@@ -26,6 +28,8 @@
 class RecentCount:
     """How many events came within the last span."""
 
+    __slots__ = ("_moments", "span_ms")
+
     def __init__(self, span_ms: float) -> None:
         self.span_ms = span_ms
         self._moments: deque[float] = deque()
@@ -44,6 +48,8 @@
 class SlidingMedian:
     """The median of the newest samples, and an initial value before there is one."""
 
+    __slots__ = ("_samples", "_since_half", "value")
+
     def __init__(self, size: int, initial: float) -> None:
         self.value = initial
         self._samples: deque[float] = deque(maxlen=size)
--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -4,7 +4,6 @@
 import math
 import socket
 from collections.abc import Callable, Container
-from http import HTTPStatus
 from typing import Protocol
 
 import anyio
@@ -17,6 +16,7 @@
 from swiftthread.network.connection import Connection, ConnectionClosed
 from swiftthread.server.admission_queue import Admission, AdmissionQueue
 from swiftthread.server.connection_table import NEW_GRACE_S, ConnectionState, ConnectionTable
+from swiftthread.server.http_status import HttpStatus
 from swiftthread.server.messages import AdmissionResult, BadRequest
 from swiftthread.server.request_reader import RequestReader
 from swiftthread.server.response import write_response
@@ -34,9 +34,9 @@
 CAPACITY_POLL_S = 0.01
 # After a client that could not be accepted: no descriptor is free, most often.
 ACCEPT_PAUSE_S = 0.05
-EVENT_ADMITTED = HTTPStatus.ACCEPTED
+EVENT_ADMITTED = HttpStatus.ACCEPTED
 # Answers after which the connection ends, for the client and the node do not understand each other.
-CLOSING_STATUSES = (HTTPStatus.BAD_REQUEST, HTTPStatus.CONFLICT)
+CLOSING_STATUSES = (HttpStatus.BAD_REQUEST, HttpStatus.CONFLICT)
 
 
 class ConnectionLimits(Protocol):
@@ -219,7 +219,7 @@
             BadRequest: it is answered with an error status, and its connection ends.
         """
         if request.is_health_check():
-            return AdmissionResult(HTTPStatus.SERVICE_UNAVAILABLE if self.is_shutting_down else HTTPStatus.OK)
+            return AdmissionResult(HttpStatus.SERVICE_UNAVAILABLE if self.is_shutting_down else HttpStatus.OK)
         result = self._admit(parse_submission(request, self._stream_types))
         if result.status in CLOSING_STATUSES:
             raise BadRequest(result.status)
--- a/swiftthread/server/request_reader.py
+++ b/swiftthread/server/request_reader.py
@@ -1,7 +1,6 @@
 """Reading of requests from a connection, within the times that a client may take."""
 
 from collections.abc import Callable
-from http import HTTPStatus
 
 import anyio
 import h11
@@ -9,6 +8,7 @@
 from swiftthread.network.connection import Connection, ConnectionClosed
 from swiftthread.server.admission_queue import AdmissionQueue
 from swiftthread.server.connection_table import ConnectionState, ConnectionTable
+from swiftthread.server.http_status import HttpStatus
 from swiftthread.server.messages import BadRequest
 from swiftthread.server.submission import MAX_BODY_BYTES, Request, RequestHead, parse_head
 
@@ -61,7 +61,7 @@
             with anyio.move_on_after(timeout_s) as timeout:
                 return await self._read_parts(connection, is_first, timeout)
             if self._connections.state_of(connection) is IN_REQUEST:
-                raise BadRequest(HTTPStatus.REQUEST_TIMEOUT)
+                raise BadRequest(HttpStatus.REQUEST_TIMEOUT)
             if connection.is_untouched() or not connection.read_available():
                 raise ConnectionClosed(request_was_written=True)
             # Its first bytes arrived at the same moment as the timeout.
@@ -87,7 +87,7 @@
             elif isinstance(part, h11.Data):
                 body += part.data
                 if len(body) > MAX_BODY_BYTES:
-                    raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+                    raise BadRequest(HttpStatus.CONTENT_TOO_LARGE)
             elif isinstance(part, h11.EndOfMessage):
                 assert head is not None  # the parser yields the head first
                 return Request(head, bytes(body), received_at_ms or self._wall_clock())
@@ -109,7 +109,7 @@
     async def _receive(self, connection: Connection) -> None:
         """Wait for more bytes, and for admission where they begin a request."""
         if connection.parser.they_are_waiting_for_100_continue:
-            interim = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
+            interim = h11.InformationalResponse(status_code=HttpStatus.CONTINUE, headers=[])
             await connection.write(connection.parser.send(interim))
         await connection.wait_until_readable()
         if self._connections.state_of(connection) is not IN_REQUEST:
--- a/swiftthread/server/response.py
+++ b/swiftthread/server/response.py
@@ -1,21 +1,20 @@
 """Answers to clients: a status and headers, without a body."""
 
-from http import HTTPStatus
-
 import h11
 
 from swiftthread.network.connection import Connection, ConnectionClosed
+from swiftthread.server.http_status import HttpStatus
 
 REASONS: dict[int, bytes] = {
-    HTTPStatus.OK: b"OK",
-    HTTPStatus.ACCEPTED: b"Accepted",
-    HTTPStatus.BAD_REQUEST: b"Bad Request",
-    HTTPStatus.NOT_FOUND: b"Not Found",
-    HTTPStatus.REQUEST_TIMEOUT: b"Request Timeout",
-    HTTPStatus.CONFLICT: b"Conflict",
-    HTTPStatus.REQUEST_ENTITY_TOO_LARGE: b"Content Too Large",
-    HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE: b"Headers Too Large",
-    HTTPStatus.SERVICE_UNAVAILABLE: b"Service Unavailable",
+    HttpStatus.OK: b"OK",
+    HttpStatus.ACCEPTED: b"Accepted",
+    HttpStatus.BAD_REQUEST: b"Bad Request",
+    HttpStatus.NOT_FOUND: b"Not Found",
+    HttpStatus.REQUEST_TIMEOUT: b"Request Timeout",
+    HttpStatus.CONFLICT: b"Conflict",
+    HttpStatus.CONTENT_TOO_LARGE: b"Content Too Large",
+    HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE: b"Headers Too Large",
+    HttpStatus.SERVICE_UNAVAILABLE: b"Service Unavailable",
 }
 
 
--- a/swiftthread/server/submission.py
+++ b/swiftthread/server/submission.py
@@ -4,10 +4,10 @@
 import zlib
 from collections.abc import Container
 from dataclasses import dataclass
-from http import HTTPStatus
 
 import h11
 
+from swiftthread.server.http_status import HttpStatus
 from swiftthread.server.messages import BadRequest
 from swiftthread.storage.pending_event import PendingEvent
 
@@ -61,12 +61,12 @@
     names = [name for name, _ in headers]
     lengths = [int(value) for name, value in headers if name == b"content-length"]
     if max(lengths, default=0) > MAX_BODY_BYTES:
-        raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+        raise BadRequest(HttpStatus.CONTENT_TOO_LARGE)
     if lengths and b"transfer-encoding" in names:
-        raise BadRequest(HTTPStatus.BAD_REQUEST)
+        raise BadRequest(HttpStatus.BAD_REQUEST)
     single_names = [name for name in names if name in SINGLE_HEADERS]
     if len(set(single_names)) < len(single_names):
-        raise BadRequest(HTTPStatus.BAD_REQUEST)
+        raise BadRequest(HttpStatus.BAD_REQUEST)
     path = request.target.decode("latin-1").partition("?")[0]
     return RequestHead(request.method, path, dict(headers))
 
@@ -86,12 +86,12 @@
     """
     head = request.head
     if head.method != b"POST":
-        raise BadRequest(HTTPStatus.NOT_FOUND)
+        raise BadRequest(HttpStatus.NOT_FOUND)
     stream_type, _, path_entity = head.path.lstrip("/").partition("/")
     if stream_type not in stream_types:
-        raise BadRequest(HTTPStatus.NOT_FOUND)
+        raise BadRequest(HttpStatus.NOT_FOUND)
     if b"x-lane" in head.headers and head.header(b"x-lane") != stream_type:
-        raise BadRequest(HTTPStatus.BAD_REQUEST)
+        raise BadRequest(HttpStatus.BAD_REQUEST)
     idempotency_key = head.header(b"idempotency-key")
     return PendingEvent(
         event_id=_token(head.header(b"x-txn")),
@@ -107,21 +107,21 @@
 
 def _token(text: str) -> str:
     if not TOKEN.fullmatch(text):
-        raise BadRequest(HTTPStatus.BAD_REQUEST)
+        raise BadRequest(HttpStatus.BAD_REQUEST)
     return text
 
 
 def _destination(route: str) -> int:
     match = DESTINATION.search(route)
     if match is None:
-        raise BadRequest(HTTPStatus.BAD_REQUEST)
+        raise BadRequest(HttpStatus.BAD_REQUEST)
     return int(match["number"])
 
 
 def _remaining_ms(text: str) -> float:
     match = REMAINING_TIME.fullmatch(text)
     if match is None:
-        raise BadRequest(HTTPStatus.BAD_REQUEST)
+        raise BadRequest(HttpStatus.BAD_REQUEST)
     units_per_ms = 1.0 if match["unit"] == "m" else 1000.0
     return float(match["number"]) / units_per_ms
 
