--- a/swiftthread/simulator/__main__.py
+++ b/swiftthread/simulator/__main__.py
@@ -1,27 +1,32 @@
-"""Serve the drill's wire on standard input and output until the input ends."""
+"""Serve the simulator's protocol on standard input and output until the input ends."""
 
 import sys
 
-from swiftthread.simulator import codec
-from swiftthread.simulator.sessions import SessionHost
+from swiftthread.simulator.codec import ReplyWriter, read_frame
+from swiftthread.simulator.errors import ProtocolError
+from swiftthread.simulator.session_host import SessionHost
 
+EXIT_OK = 0
+EXIT_MALFORMED_INPUT = 2
 
-def main():
-    """Answer the simulator's frames until it closes our input."""
-    host, source, endpoint = SessionHost(), sys.stdin.buffer, sys.stdout.buffer
+
+def main() -> int:
+    """Answer the simulator's frames until it closes our input; returns the process's exit code."""
+    host = SessionHost()
+    source = sys.stdin.buffer
+    destination = sys.stdout.buffer
     try:
-        while (frame := codec.read_frame(source)) is not None:
-            number, now, records, tail = frame
-            reply = codec.Reply(number)
-            host.batch(number, now, records, tail, reply)
-            endpoint.write(reply.frame())
-            endpoint.flush()
-    except codec.MalformedInput as fault:
-        print(f"swiftthread.simulator: {fault}", file=sys.stderr)
-        return 2
+        while (frame := read_frame(source)) is not None:
+            reply = ReplyWriter(frame.batch_number)
+            host.handle_frame(frame, reply)
+            destination.write(reply.encode())
+            destination.flush()
+    except ProtocolError as error:
+        print(f"swiftthread.simulator: {error}", file=sys.stderr)
+        return EXIT_MALFORMED_INPUT
     except BrokenPipeError:
-        return 0
-    return 0
+        return EXIT_OK
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/swiftthread/simulator/codec.py
+++ b/swiftthread/simulator/codec.py
@@ -1,151 +1,211 @@
-"""The drill's binary frames: records in, records out, and the wire's words turned into ours."""
+"""Binary frames of the simulator's protocol: records read as messages, commands written as bytes.
 
-import struct
+A frame from the simulator is a header, records of a fixed size and a tail of variable parts; a reply is a
+header, commands of a fixed size and a tail. All numbers are little-endian.
+"""
 
-from swiftthread.configuration.settings_reader import MalformedInput
-from swiftthread.routing.messages import LoadReport, SendOutcome
-
-HEADER, REPLY = struct.Struct("<IIId"), struct.Struct("<III")
-EVENT_SIZE, ACTION_SIZE = 48, 24
-CREATE, VIEW, CHECKED, RESOLVED, JOB_IN, OPENED, DROPPED, PEER, RING, PAGE, SHUTDOWN = range(16, 27)
-EVENTS = {
-    CREATE: struct.Struct("<HQII"),
-    VIEW: struct.Struct("<HBQB"),
-    CHECKED: struct.Struct("<HIHdB4f"),
-    RESOLVED: struct.Struct("<HIdIBHHIB4f"),
-    JOB_IN: struct.Struct("<HIdIQdBBf"),
-    OPENED: struct.Struct("<HIHId"),
-    DROPPED: struct.Struct("<HI"),
-    PEER: struct.Struct("<HHII"),
-    RING: struct.Struct("<HI"),
-    PAGE: struct.Struct("<BII"),
-    SHUTDOWN: struct.Struct("<H"),
-}
-ENTRY = struct.Struct("<BBfHIdB")
-ISSUE, BUSY, GIVE_UP = struct.Struct("<BHIId5x"), struct.Struct("<BHId9x"), struct.Struct("<BHI17x")
-REVOKE, SCHEDULE = struct.Struct("<BHIH15x"), struct.Struct("<BHdI9x")
-ENDPOINT, TEXT = struct.Struct("<BHI17x"), struct.Struct("<BHII13x")
-LISTEN, GET_LIST, ANNOUNCE = struct.Struct("<BHB20x"), struct.Struct("<BH21x"), struct.Struct("<BHHII11x")
-
-OUTCOMES = {
-    200: SendOutcome.ACKED,
-    502: SendOutcome.FAILED,
-    429: SendOutcome.RATE_LIMITED,
-    408: SendOutcome.TIMED_OUT,
-    521: SendOutcome.UNREACHABLE,
-    520: SendOutcome.RESET,
-    444: SendOutcome.CANCELLED,
-    409: SendOutcome.NOT_EXECUTED,
-}
-FAILED_VIEW, DELTA_VIEW, WHOLE_VIEWS = 3, 2, (0, 4)
-READY, DRAINING, GONE = 2, 3, 0
+from __future__ import annotations
 
-
-def read_frame(stream):
-    """The next frame as (number, clock in ms, records, tail), or None at the end of input."""
-    head = stream.read(HEADER.size)
-    if not head:
+import struct
+from collections.abc import Iterator, Sequence
+from typing import BinaryIO, NamedTuple, Protocol
+
+from swiftthread.routing.messages import EndpointEntry, LoadReport, SendOutcome
+from swiftthread.simulator import messages
+from swiftthread.simulator.errors import ProtocolError
+from swiftthread.simulator.messages import (
+    OUTCOMES_BY_CODE,
+    CommandCode,
+    EndpointPhase,
+    Message,
+    RecordCode,
+)
+
+FRAME_HEADER = struct.Struct("<IIId")
+"""Batch number, size of the frame in bytes, number of records, clock in seconds."""
+REPLY_HEADER = struct.Struct("<III")
+"""Batch number, size of the reply in bytes, number of commands."""
+RECORD_SIZE = 48
+"""Bytes of a record, its code among them."""
+COMMAND_SIZE = 24
+"""Bytes of a command, its code among them."""
+LIST_ENTRY = struct.Struct("<BBfHIdB")
+"""Kind, zone, listed rate, destination, endpoint, start in seconds, phase."""
+
+RECORD_LAYOUTS: dict[int, tuple[struct.Struct, type[Message]]] = {
+    RecordCode.START_INSTANCE: (struct.Struct("<HQII"), messages.StartInstance),
+    RecordCode.ENDPOINT_LIST: (struct.Struct("<HBQB"), messages.EndpointList),
+    RecordCode.HEALTH_CHECK_RESULT: (struct.Struct("<HIHdB4f"), messages.HealthCheckResult),
+    RecordCode.ATTEMPT_RESULT: (struct.Struct("<HIdIBHHIB4f"), messages.AttemptResult),
+    RecordCode.SUBMIT_EVENT: (struct.Struct("<HIdIQdBBf"), messages.SubmitEvent),
+    RecordCode.STREAM_OPENED: (struct.Struct("<H"), messages.StreamOpened),
+    RecordCode.WITHDRAW_EVENT: (struct.Struct("<HI"), messages.WithdrawEvent),
+    RecordCode.PEER_MESSAGE: (struct.Struct("<H"), messages.PeerMessage),
+    RecordCode.WAKEUP: (struct.Struct("<H"), messages.Wakeup),
+    RecordCode.LIST_ENTRIES: (struct.Struct("<BII"), messages.ListEntries),
+    RecordCode.STOP_INSTANCE: (struct.Struct("<H"), messages.StopInstance),
+}
+"""Fields of a record after its code, and the message that they are read as."""
+
+ENDPOINT_PHASES = frozenset(EndpointPhase)
+
+SEND = struct.Struct("<BHIId5x")
+REJECT = struct.Struct("<BHId9x")
+ABANDON = struct.Struct("<BHI17x")
+SCHEDULE_WAKEUP = struct.Struct("<BHdI9x")
+ENDPOINT_COMMAND = struct.Struct("<BHI17x")
+TEXT_COMMAND = struct.Struct("<BHII13x")
+WATCH_ENDPOINT_LIST = struct.Struct("<BHB20x")
+
+
+class Frame(NamedTuple):
+    """One batch of records."""
+
+    batch_number: int
+    now_ms: float
+    record_count: int
+    records: bytes
+    tail: memoryview
+
+    def read_messages(self) -> Iterator[Message]:
+        """Read the records in order; ProtocolError at the first whose code is unknown."""
+        for position in range(self.record_count):
+            offset = position * RECORD_SIZE
+            code = self.records[offset]
+            layout = RECORD_LAYOUTS.get(code)
+            if layout is None:
+                raise ProtocolError(
+                    f"batch {self.batch_number}, record {position}: unknown event code {code}"
+                )
+            fields, message_type = layout
+            yield message_type._make(fields.unpack_from(self.records, offset + 1))
+
+
+def read_frame(stream: BinaryIO) -> Frame | None:
+    """Read the next frame; None at the end of input, ProtocolError where the input ends within a frame."""
+    header = stream.read(FRAME_HEADER.size)
+    if not header:
         return None
-    if len(head) < HEADER.size:
-        raise MalformedInput(f"input ends inside a batch header, after {len(head)} bytes of {HEADER.size}")
-    number, size, count, clock = HEADER.unpack(head)
-    records_end = HEADER.size + count * EVENT_SIZE
-    if size < records_end:
-        raise MalformedInput(f"batch {number}: {size} bytes cannot hold {count} records")
-    body = stream.read(size - HEADER.size)
-    if len(body) < size - HEADER.size:
-        raise MalformedInput(f"batch {number}: input ends after {len(body) + HEADER.size} bytes of {size}")
-    return number, clock * 1000.0, records(number, body, count), memoryview(body)[count * EVENT_SIZE :]
-
-
-def records(number, body, count):
-    """Each record as (place, code, fields), in the order of the wire."""
-    for place in range(count):
-        code = body[place * EVENT_SIZE]
-        layout = EVENTS.get(code)
-        if layout is None:
-            raise MalformedInput(f"batch {number}, record {place}: unknown event code {code}")
-        yield place, code, layout.unpack_from(body, place * EVENT_SIZE + 1)
-
-
-def tail_part(tail, offset, length):
-    """Return a part of the frame's variable tail; Malformed when it lies outside."""
+    if len(header) < FRAME_HEADER.size:
+        raise ProtocolError(
+            f"input ends inside a batch header, after {len(header)} bytes of {FRAME_HEADER.size}"
+        )
+    number, size, record_count, clock_s = FRAME_HEADER.unpack(header)
+    if size < FRAME_HEADER.size + record_count * RECORD_SIZE:
+        raise ProtocolError(f"batch {number}: {size} bytes cannot hold {record_count} records")
+    body = stream.read(size - FRAME_HEADER.size)
+    if len(body) < size - FRAME_HEADER.size:
+        raise ProtocolError(
+            f"batch {number}: input ends after {len(body) + FRAME_HEADER.size} bytes of {size}"
+        )
+    tail = memoryview(body)[record_count * RECORD_SIZE :]
+    return Frame(number, clock_s * 1000.0, record_count, body, tail)
+
+
+def read_tail(tail: memoryview, offset: int, length: int) -> memoryview:
+    """Return a part of a frame's tail; ProtocolError when it lies outside."""
     if offset + length > len(tail):
-        raise MalformedInput(f"the tail has {len(tail)} bytes, but {offset}+{length} are named")
+        raise ProtocolError(f"the tail has {len(tail)} bytes, but {offset}+{length} are named")
     return tail[offset : offset + length]
 
 
-def entries(tail, offset, count):
-    """The list entries as (endpoint, destination, zone, kind, listed rate, ready)."""
-    part = tail_part(tail, offset, count * ENTRY.size)
-    found = []
-    for kind, hall, units, owner, endpoint, _since, phase in ENTRY.iter_unpack(part):
-        if phase not in (READY, DRAINING, GONE):
-            raise MalformedInput(f"list entry for endpoint {endpoint}: unknown phase {phase}")
-        found.append((endpoint, owner, hall, kind, units, phase == READY))
-    return found
+def read_list_entries(tail: memoryview, offset: int, count: int) -> list[EndpointEntry]:
+    """Read the entries of an endpoint list; ProtocolError when the phase of one is unknown."""
+    entries = []
+    part = read_tail(tail, offset, count * LIST_ENTRY.size)
+    for kind, zone, listed_rate, destination, endpoint, _started_s, phase in LIST_ENTRY.iter_unpack(part):
+        if phase not in ENDPOINT_PHASES:
+            raise ProtocolError(f"list entry for endpoint {endpoint}: unknown phase {phase}")
+        is_ready = phase == EndpointPhase.READY
+        entries.append(EndpointEntry(endpoint, destination, zone, kind, listed_rate, is_ready))
+    return entries
+
+
+def read_outcome(code: int) -> SendOutcome:
+    """Return the outcome of an attempt or health check; ProtocolError when its code is unknown."""
+    outcome = OUTCOMES_BY_CODE.get(code)
+    if outcome is None:
+        raise ProtocolError(f"unknown outcome code {code}")
+    return outcome
+
+
+def read_load_report(field_names: Sequence[str], values: Sequence[float]) -> LoadReport | None:
+    """Read a load report by the names of its fields; None when there was none."""
+    return LoadReport.from_fields(dict(zip(field_names, values, strict=False)))
 
 
-def outcome(code):
-    """The name of an outcome by its code on the wire; Malformed when there is none."""
-    if code not in OUTCOMES:
-        raise MalformedInput(f"unknown outcome code {code}")
-    return OUTCOMES[code]
+class CommandWriter(Protocol):
+    """Receiver of the commands of a session."""
 
+    def send(self, instance: int, ticket: int, endpoint: int, timeout_ms: float) -> None:
+        """Send an event to an endpoint, and wait for its answer so long."""
 
-def report(names, count, values):
-    """The load report by the names of its values; None when there was none."""
-    return LoadReport.from_fields(dict(zip(names, values[:count], strict=False)))
+    def reject(self, instance: int, ticket: int, retry_after_ms: float) -> None:
+        """Return an event undelivered; its client may retry, best after `retry_after_ms` (0: no advice)."""
 
+    def abandon(self, instance: int, ticket: int) -> None:
+        """End an event of which it is unknown whether it had an effect."""
 
-class Reply:
-    """Gathers the actions of one batch and writes them as one frame."""
+    def schedule_wakeup(self, instance: int, delay_ms: float, label: int) -> None:
+        """Wake the instance after a delay."""
 
-    def __init__(self, number):
-        self.number, self.rows, self.tail = number, [], bytearray()
+    def probe(self, instance: int, endpoint: int) -> None:
+        """Check the health of an endpoint."""
 
-    def send(self, node, ticket, endpoint, allow_ms):
-        self.rows.append(ISSUE.pack(80, node, ticket, endpoint, allow_ms / 1000.0))
+    def close_idle(self, instance: int, endpoint: int) -> None:
+        """Close the idle connections to an endpoint."""
 
-    def decline(self, node, ticket, retry_after_ms):
-        self.rows.append(BUSY.pack(81, node, ticket, retry_after_ms / 1000.0))
+    def watch_endpoint_list(self, instance: int) -> None:
+        """Ask for the endpoint list, and for its changes."""
 
-    def discard(self, node, ticket):
-        self.rows.append(GIVE_UP.pack(82, node, ticket))
 
-    def cancel(self, node, ticket, send):
-        self.rows.append(REVOKE.pack(83, node, ticket, send))
+class ReplyWriter:
+    """Collects the commands of one batch, and encodes them as one reply."""
 
-    def ring(self, node, delay_ms, label):
-        self.rows.append(SCHEDULE.pack(84, node, delay_ms / 1000.0, label))
+    def __init__(self, batch_number: int) -> None:
+        self.batch_number = batch_number
+        self._commands: list[bytes] = []
+        self._tail = bytearray()
 
-    def probe(self, node, endpoint):
-        self.rows.append(ENDPOINT.pack(85, node, endpoint))
+    def send(self, instance: int, ticket: int, endpoint: int, timeout_ms: float) -> None:
+        """Send an event to an endpoint, and wait for its answer so long."""
+        self._commands.append(SEND.pack(CommandCode.SEND, instance, ticket, endpoint, timeout_ms / 1000.0))
 
-    def close_idle(self, node, endpoint):
-        self.rows.append(ENDPOINT.pack(86, node, endpoint))
+    def reject(self, instance: int, ticket: int, retry_after_ms: float) -> None:
+        """Return an event undelivered; its client may retry, best after `retry_after_ms` (0: no advice)."""
+        self._commands.append(REJECT.pack(CommandCode.REJECT, instance, ticket, retry_after_ms / 1000.0))
 
-    def tell(self, node, peer, contents):
-        self.rows.append(ANNOUNCE.pack(87, node, peer, len(self.tail), len(contents)))
-        self.tail += contents
+    def abandon(self, instance: int, ticket: int) -> None:
+        """End an event of which it is unknown whether it had an effect."""
+        self._commands.append(ABANDON.pack(CommandCode.ABANDON, instance, ticket))
 
-    def log(self, node, text):
-        self._text(88, node, text)
+    def schedule_wakeup(self, instance: int, delay_ms: float, label: int) -> None:
+        """Wake the instance after a delay."""
+        self._commands.append(
+            SCHEDULE_WAKEUP.pack(CommandCode.SCHEDULE_WAKEUP, instance, delay_ms / 1000.0, label)
+        )
 
-    def fault(self, node, text):
-        self._text(89, node, text)
+    def probe(self, instance: int, endpoint: int) -> None:
+        """Check the health of an endpoint."""
+        self._commands.append(ENDPOINT_COMMAND.pack(CommandCode.PROBE, instance, endpoint))
 
-    def _text(self, code, node, text):
-        raw = text.encode()
-        self.rows.append(TEXT.pack(code, node, len(self.tail), len(raw)))
-        self.tail += raw
+    def close_idle(self, instance: int, endpoint: int) -> None:
+        """Close the idle connections to an endpoint."""
+        self._commands.append(ENDPOINT_COMMAND.pack(CommandCode.CLOSE_IDLE, instance, endpoint))
 
-    def listen(self, node):
-        self.rows.append(LISTEN.pack(90, node, 1))
+    def report_fault(self, instance: int, text: str) -> None:
+        """Tell the simulator that the instance failed."""
+        encoded = text.encode()
+        self._commands.append(
+            TEXT_COMMAND.pack(CommandCode.REPORT_FAULT, instance, len(self._tail), len(encoded))
+        )
+        self._tail += encoded
 
-    def fetch_list(self, node):
-        self.rows.append(GET_LIST.pack(91, node))
+    def watch_endpoint_list(self, instance: int) -> None:
+        """Ask for the endpoint list, and for its changes."""
+        self._commands.append(WATCH_ENDPOINT_LIST.pack(CommandCode.WATCH_ENDPOINT_LIST, instance, 1))
 
-    def frame(self):
-        body = b"".join(self.rows) + bytes(self.tail)
-        return REPLY.pack(self.number, REPLY.size + len(body), len(self.rows)) + body
+    def encode(self) -> bytes:
+        """Return the reply's bytes."""
+        body = b"".join(self._commands) + bytes(self._tail)
+        return REPLY_HEADER.pack(self.batch_number, REPLY_HEADER.size + len(body), len(self._commands)) + body
--- /dev/null
+++ b/swiftthread/simulator/session_host.py
@@ -0,0 +1,151 @@
+"""All instances of one process. They share nothing but the endpoint lists that the simulator numbers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from swiftthread.configuration.settings_reader import (
+    MalformedInput,
+    parse_settings,
+    read_report_fields,
+    read_settings,
+)
+from swiftthread.routing.messages import EndpointEntry
+from swiftthread.simulator.codec import Frame, ReplyWriter, read_list_entries, read_tail
+from swiftthread.simulator.errors import ProtocolError
+from swiftthread.simulator.messages import (
+    AttemptResult,
+    EndpointList,
+    HealthCheckResult,
+    ListEntries,
+    ListForm,
+    Message,
+    PeerMessage,
+    StartInstance,
+    StopInstance,
+    StreamOpened,
+    SubmitEvent,
+    Wakeup,
+    WithdrawEvent,
+)
+from swiftthread.simulator.sessions import Session
+
+LIST_FORMS = frozenset(ListForm)
+
+
+class SessionHost:
+    """Sessions by the number of their instance."""
+
+    def __init__(self) -> None:
+        # Emptied as instances stop.
+        self.sessions: dict[int, Session] = {}
+        # By list number, which is one byte; replaced by the next list of the number.
+        self.endpoint_lists: dict[int, list[EndpointEntry]] = {}
+
+    def handle_frame(self, frame: Frame, reply: ReplyWriter) -> None:
+        """Hand each record to its session, then let every session that had one decide.
+
+        Raises:
+            ProtocolError: A record is malformed, or does not fit the state of its instance.
+        """
+        touched: dict[int, Session] = {}
+        for position, message in enumerate(frame.read_messages()):
+            try:
+                session = HANDLERS[type(message)](self, message, frame, reply)
+            except (ProtocolError, MalformedInput) as error:
+                raise ProtocolError(f"batch {frame.batch_number}, record {position}: {error}") from None
+            except Exception as error:  # the router failed: the protocol has a command for it
+                reply.report_fault(
+                    message[0],
+                    f"batch {frame.batch_number}, record {position}: {type(error).__name__}: {error}",
+                )
+                return
+            if session is not None:
+                touched[session.number] = session
+        for session in touched.values():
+            if self.sessions.get(session.number) is not session:
+                continue
+            try:
+                session.settle(frame.now_ms, reply)
+            except Exception as error:
+                reply.report_fault(
+                    session.number, f"batch {frame.batch_number}: {type(error).__name__}: {error}"
+                )
+                return
+
+    def _find(self, instance: int) -> Session:
+        session = self.sessions.get(instance)
+        if session is None:
+            raise ProtocolError(f"an event for instance {instance}, which is not running")
+        return session
+
+    def _start_instance(self, message: StartInstance, frame: Frame, _reply: ReplyWriter) -> Session:
+        document = parse_settings(read_tail(frame.tail, message.offset, message.length))
+        settings = read_settings(document)
+        report_fields = [name.lower() for name in read_report_fields(document)]
+        session = Session(message.instance, message.seed, settings, report_fields)
+        self.sessions[message.instance] = session
+        return session
+
+    def _stop_instance(self, message: StopInstance, _frame: Frame, _reply: ReplyWriter) -> None:
+        self._find(message.instance)
+        del self.sessions[message.instance]
+
+    def _store_list(self, message: ListEntries, frame: Frame, _reply: ReplyWriter) -> None:
+        self.endpoint_lists[message.list_number] = read_list_entries(
+            frame.tail, message.offset, message.entry_count
+        )
+
+    def _apply_list(self, message: EndpointList, frame: Frame, _reply: ReplyWriter) -> Session:
+        session = self._find(message.instance)
+        if message.form == ListForm.REQUEST_FAILED:
+            session.router.list_request_failed(frame.now_ms)
+        elif message.form not in LIST_FORMS:
+            raise ProtocolError(f"unknown list form {message.form}")
+        elif message.list_number not in self.endpoint_lists:
+            raise ProtocolError(f"list {message.list_number} was never sent")
+        else:
+            entries = self.endpoint_lists[message.list_number]
+            session.apply_endpoint_list(entries, message.form != ListForm.DELTA, frame.now_ms)
+        return session
+
+    def _submit_event(self, message: SubmitEvent, frame: Frame, _reply: ReplyWriter) -> Session:
+        session = self._find(message.instance)
+        session.submit(message, frame.now_ms)
+        return session
+
+    def _withdraw_event(self, message: WithdrawEvent, frame: Frame, _reply: ReplyWriter) -> Session:
+        session = self._find(message.instance)
+        session.withdraw(message.ticket, frame.now_ms)
+        return session
+
+    def _record_attempt(self, message: AttemptResult, frame: Frame, reply: ReplyWriter) -> Session:
+        session = self._find(message.instance)
+        session.record_attempt(message, frame.now_ms, reply)
+        return session
+
+    def _record_health_check(self, message: HealthCheckResult, frame: Frame, _reply: ReplyWriter) -> Session:
+        session = self._find(message.instance)
+        session.record_health_check(message, frame.now_ms)
+        return session
+
+    def _wake(
+        self, message: Wakeup | StreamOpened | PeerMessage, _frame: Frame, _reply: ReplyWriter
+    ) -> Session:
+        return self._find(message.instance)
+
+
+HANDLERS: dict[type[Message], Callable[..., Session | None]] = {
+    StartInstance: SessionHost._start_instance,
+    StopInstance: SessionHost._stop_instance,
+    ListEntries: SessionHost._store_list,
+    EndpointList: SessionHost._apply_list,
+    SubmitEvent: SessionHost._submit_event,
+    WithdrawEvent: SessionHost._withdraw_event,
+    AttemptResult: SessionHost._record_attempt,
+    HealthCheckResult: SessionHost._record_health_check,
+    Wakeup: SessionHost._wake,
+    StreamOpened: SessionHost._wake,
+    PeerMessage: SessionHost._wake,
+}
+"""The handler of each message: it returns the session to settle after the batch, None where there is none."""
--- a/swiftthread/simulator/sessions.py
+++ b/swiftthread/simulator/sessions.py
@@ -1,190 +1,181 @@
-"""Hosts the instances of one process: their events in hand and their timers, and nothing shared."""
+"""One incarnation of an instance: its events in hand, and when it asks the router about them."""
+
+from __future__ import annotations
 
 import heapq
+import math
+from collections.abc import Sequence
 from itertools import count
+from typing import Any
 
-from swiftthread.configuration.settings_reader import parse_settings, read_report_fields, read_settings
-from swiftthread.routing.messages import Defer, Reject, Send
+from swiftthread.routing.messages import Abandon, Defer, EndpointEntry, Reject, Send
 from swiftthread.routing.router import Router
-from swiftthread.simulator import codec
+from swiftthread.routing.settings import Settings
+from swiftthread.simulator.codec import CommandWriter, read_load_report, read_outcome
+from swiftthread.simulator.errors import ProtocolError
+from swiftthread.simulator.messages import AttemptResult, HealthCheckResult, SubmitEvent
+
+CLOCK_TOLERANCE_MS = 1e-3
+"""Moments that differ by less are one: the simulator's clock is in seconds, a rounding apart from ours."""
+WAKEUP_LABEL = 1
+"""Label of every timer: the session has one at a time."""
+
+HeldEvent = Any
+"""An event of the router whose `handle` is its ticket."""
+Answer = Send | Defer | Reject | Abandon
+"""What the router says about an event."""
 
 
 class Session:
-    """One life of one delivery node."""
+    """One incarnation of an instance.
 
-    def __init__(self, number, seed, settings, report_names):
-        self.number, self.report_names = number, report_names
+    Commands go to the `CommandWriter` that a call is given; moments are in ms of the simulator's clock.
+    """
+
+    def __init__(self, number: int, seed: int, settings: Settings, report_fields: Sequence[str]) -> None:
+        self.number = number
+        self.report_fields = report_fields
         self.router = Router(settings, seed)
-        self.pending = {}  # ticket -> event; emptied by its final answer or withdrawal
-        self.in_flight = {}  # ticket -> event with a send out; emptied by the outcome
-        self.asks, self.turn = [], count()  # heap of (moment, turn, event); emptied as moments pass
-        self.moments = {}  # ticket -> its moment in the heap; emptied when that passes
-        self.waiting = {}  # ticket -> event to ask after any outcome; emptied when asked
-        self.to_decide, self.needs_recheck, self.wakeup_at = [], False, None
-
-    def ask(self, event):
+        # By ticket; an event leaves with its final answer or its withdrawal.
+        self.pending: dict[int, HeldEvent] = {}
+        # By ticket, events with an attempt out; emptied by the attempts' results.
+        self.in_flight: dict[int, HeldEvent] = {}
+        # By ticket, events to decide again after any result; emptied when they are decided.
+        self.waiting_for_result: dict[int, HeldEvent] = {}
+        self.to_decide: list[HeldEvent] = []
+        self.needs_recheck = False
+        # Heap of (moment, order of insertion, event); emptied as moments pass.
+        self._scheduled: list[tuple[float, int, HeldEvent]] = []
+        # By ticket, the one entry of the heap that counts.
+        self._scheduled_at: dict[int, float] = {}
+        self._insertion = count()
+        self._wakeup_at: float | None = None
+
+    def submit(self, message: SubmitEvent, now: float) -> None:
+        """Hold a new event, to be decided at the end of the batch."""
+        if message.ticket in self.pending:
+            raise ProtocolError(f"ticket {message.ticket} was handed in twice")
+        event = self.router.add_event(
+            now,
+            message.stream_type,
+            int(message.destination),
+            message.time_left_s * 1000.0,
+            message.tenant,
+            message.ordering_key,
+        )
+        self.hold(event, message.ticket)
+
+    def hold(self, event: HeldEvent, ticket: int) -> None:
+        """Hold an event of the router under its ticket, to be decided at the end of the batch."""
+        event.handle = ticket
+        self.pending[ticket] = event
         self.to_decide.append(event)
 
-    def answer(self, event, answer, now, reply):
-        kind = type(answer)
-        if kind is Send:
-            self.in_flight[event.handle] = event
-            reply.send(self.number, event.handle, answer.endpoint.endpoint_id, answer.timeout_ms)
-        elif kind is Defer:
-            wait = self.router.next_check(event, now)
-            if self.moments.get(event.handle) != wait.at:
-                self.moments[event.handle] = wait.at
-                heapq.heappush(self.asks, (wait.at, next(self.turn), event))
-            if wait.or_outcome:
-                self.waiting[event.handle] = event
-        else:
-            del self.pending[event.handle]
-            if kind is Reject:
-                reply.decline(self.number, event.handle, answer.retry_after_ms)
-            else:
-                reply.discard(self.number, event.handle)
+    def withdraw(self, ticket: int, now: float) -> None:
+        """Forget an event; nothing happens when it has ended."""
+        event = self.pending.pop(ticket, None)
+        if event is not None:
+            self.router.withdraw(event, now)
+            self.needs_recheck = True
 
-    def resolved(self, ticket, endpoint, code, over, delay, remark, stats, now, reply):
-        event = self.in_flight.pop(ticket, None)
+    def record_attempt(self, result: AttemptResult, now: float, commands: CommandWriter) -> None:
+        """Hand the router the result of an attempt, and carry out what it says about the event."""
+        event = self.in_flight.pop(result.ticket, None)
         if event is None:
-            raise codec.MalformedInput(f"an outcome for ticket {ticket}, which has no send out")
+            raise ProtocolError(f"an outcome for ticket {result.ticket}, which has no send out")
         answer = self.router.record_outcome(
             event,
-            codec.outcome(code),
+            read_outcome(result.outcome_code),
+            now,
+            result.latency_s * 1000.0,
+            float(result.retry_after_ms),
+            bool(result.is_event_finished),
+            read_load_report(self.report_fields, result.report_values),
+        )
+        self.needs_recheck = True
+        if result.is_event_finished:
+            self.pending.pop(result.ticket, None)
+        if result.ticket in self.pending:
+            self.answer(event, answer, now, commands)
+
+    def record_health_check(self, result: HealthCheckResult, now: float) -> None:
+        """Hand the router the result of a health check."""
+        self.router.record_probe(
+            result.endpoint,
+            read_outcome(result.outcome_code),
             now,
-            delay * 1000.0,
-            float(remark),
-            bool(over),
-            codec.report(self.report_names, stats[0], stats[1:]),
+            result.latency_s * 1000.0,
+            read_load_report(self.report_fields, result.report_values),
         )
         self.needs_recheck = True
-        if over:
-            self.pending.pop(ticket, None)
-        if ticket in self.pending:
-            self.answer(event, answer, now, reply)
 
-    def withdrawn(self, ticket, now):
-        event = self.pending.pop(ticket, None)
-        if event is not None:
-            self.router.withdraw(event, now)
-            self.needs_recheck = True
+    def apply_endpoint_list(self, entries: Sequence[EndpointEntry], is_full: bool, now: float) -> None:
+        """Hand the router an endpoint list, or the changes of one."""
+        self.router.apply_endpoint_list(entries, is_full, now)
+        self.needs_recheck = True
 
-    def settle(self, now, reply):
-        """Ask for every event whose moment has come, then set the timer for the next."""
-        ready, self.to_decide = self.to_decide, []
-        while self.asks and self.asks[0][0] <= now + 1e-3:
-            moment, _, event = heapq.heappop(self.asks)
-            if self.moments.get(event.handle) == moment:
-                del self.moments[event.handle]
-                ready.append(event)
+    def answer(self, event: HeldEvent, answer: Answer | None, now: float, commands: CommandWriter) -> None:
+        """Carry out what the router says about an event in hand; None ends it as `Abandon` does."""
+        if isinstance(answer, Send):
+            self.in_flight[event.handle] = event
+            commands.send(self.number, event.handle, answer.endpoint.endpoint_id, answer.timeout_ms)
+        elif isinstance(answer, Defer):
+            self._defer(event, now)
+        else:
+            del self.pending[event.handle]
+            if isinstance(answer, Reject):
+                commands.reject(self.number, event.handle, answer.retry_after_ms)
+            else:
+                commands.abandon(self.number, event.handle)
+
+    def _defer(self, event: HeldEvent, now: float) -> None:
+        check = self.router.next_check(event, now)
+        if self._scheduled_at.get(event.handle) != check.at:
+            self._scheduled_at[event.handle] = check.at
+            heapq.heappush(self._scheduled, (check.at, next(self._insertion), event))
+        if check.or_outcome:
+            self.waiting_for_result[event.handle] = event
+
+    def settle(self, now: float, commands: CommandWriter) -> None:
+        """Decide every event whose moment has come, then set the timer for the next."""
+        for event in self.router.sort_by_urgency(self._take_due_events(now), now):
+            self.answer(event, self.router.decide(event, now), now, commands)
+        for endpoint in self.router.endpoints_to_probe(now):
+            commands.probe(self.number, endpoint.endpoint_id)
+        for endpoint in self.router.endpoints_to_disconnect(now):
+            commands.close_idle(self.number, endpoint.endpoint_id)
+        if self.router.should_request_list(now):
+            commands.watch_endpoint_list(self.number)
+        self._schedule_wakeup(now, commands)
+
+    def _take_due_events(self, now: float) -> list[HeldEvent]:
+        """Events to decide now: new ones, those whose moment has come, those that waited for a result."""
+        due, self.to_decide = self.to_decide, []
+        while self._scheduled and self._scheduled[0][0] <= now + CLOCK_TOLERANCE_MS:
+            moment, _, event = heapq.heappop(self._scheduled)
+            if self._scheduled_at.get(event.handle) == moment:
+                del self._scheduled_at[event.handle]
+                due.append(event)
         if self.needs_recheck:
-            ready.extend(self.waiting.values())
+            due.extend(self.waiting_for_result.values())
             self.needs_recheck = False
-        wanted = {
+        by_ticket = {
             event.handle: event
-            for event in ready
+            for event in due
             if event.handle in self.pending and event.handle not in self.in_flight
         }
-        for ticket in wanted:
-            self.waiting.pop(ticket, None)
-        for event in self.router.sort_by_urgency(list(wanted.values()), now):
-            self.answer(event, self.router.decide(event, now), now, reply)
-        for endpoint in self.router.endpoints_to_probe(now):
-            reply.probe(self.number, endpoint.endpoint_id)
-        for endpoint in self.router.endpoints_to_disconnect(now):
-            reply.close_idle(self.number, endpoint.endpoint_id)
-        if self.router.should_request_list(now):
-            reply.listen(self.number)
-        at = min(self.asks[0][0] if self.asks else float("inf"), self.router.next_wakeup_at(now))
-        if at < float("inf") and (
-            self.wakeup_at is None or at < self.wakeup_at - 1e-3 or self.wakeup_at <= now + 1e-3
+        for ticket in by_ticket:
+            self.waiting_for_result.pop(ticket, None)
+        return list(by_ticket.values())
+
+    def _schedule_wakeup(self, now: float, commands: CommandWriter) -> None:
+        """Set a timer for the next moment, unless one is set that rings no later."""
+        next_check_at = self._scheduled[0][0] if self._scheduled else math.inf
+        at = min(next_check_at, self.router.next_wakeup_at(now))
+        if at < math.inf and (
+            self._wakeup_at is None
+            or at < self._wakeup_at - CLOCK_TOLERANCE_MS
+            or self._wakeup_at <= now + CLOCK_TOLERANCE_MS
         ):
-            self.wakeup_at = at
-            reply.ring(self.number, max(0.0, at - now), 1)
-
-
-class SessionHost:
-    """All instances of this process, by number, and the numbered lists of the wire."""
-
-    def __init__(self):
-        self.instances = {}  # number -> instance; emptied by a shutdown
-        self.pages = {}  # list number (0 to 15) -> entries; replaced by the next of the number
-        self.dead = set()  # numbers once started and shut since; emptied by a new start
-
-    def instance(self, number):
-        if number not in self.instances:
-            raise codec.MalformedInput(f"an event for instance {number}, which is not running")
-        return self.instances[number]
-
-    def batch(self, number, now, records, tail, reply):
-        touched = {}
-        for place, code, fields in records:
-            try:
-                node = self.event(code, fields, tail, now, reply)
-            except codec.MalformedInput as fault:
-                raise codec.MalformedInput(f"batch {number}, record {place}: {fault}") from None
-            except Exception as fault:  # the decisions failed: the wire has an action for it
-                reply.fault(fields[0], f"batch {number}, record {place}: {type(fault).__name__}: {fault}")
-                return
-            if node is not None:
-                touched[node.number] = node
-        for node in touched.values():
-            if self.instances.get(node.number) is not node:
-                continue
-            try:
-                node.settle(now, reply)
-            except Exception as fault:
-                reply.fault(node.number, f"batch {number}: {type(fault).__name__}: {fault}")
-                return
-
-    def event(self, code, fields, tail, now, reply):
-        """Hand one record to its instance; the instance, or None where there is none to ask."""
-        if code == codec.PAGE:
-            self.pages[fields[0]] = codec.entries(tail, fields[1], fields[2])
-            return None
-        if code == codec.CREATE:
-            document = parse_settings(codec.tail_part(tail, fields[2], fields[3]))
-            settings = read_settings(document)
-            report_fields = [name.lower() for name in read_report_fields(document)]
-            self.instances[fields[0]] = Session(fields[0], fields[1], settings, report_fields)
-            return self.instances[fields[0]]
-        if code == codec.SHUTDOWN:
-            self.instance(fields[0])
-            del self.instances[fields[0]]
-            return None
-        inst = self.instance(fields[0])
-        if code == codec.JOB_IN:
-            _, ticket, left, tenant, subject, _work, stream, _marks, destination = fields
-            if ticket in inst.pending:
-                raise codec.MalformedInput(f"ticket {ticket} was handed in twice")
-            event = inst.router.add_event(now, stream, int(destination), left * 1000.0, tenant, subject)
-            event.handle = ticket
-            inst.pending[ticket] = event
-            inst.ask(event)
-        elif code == codec.RESOLVED:
-            _, ticket, delay, endpoint, over, _send, outcome, remark, *stats = fields
-            inst.resolved(ticket, endpoint, outcome, over, delay, remark, stats, now, reply)
-        elif code == codec.VIEW:
-            _, form, _version, page = fields
-            if form == codec.FAILED_VIEW:
-                inst.router.list_request_failed(now)
-            elif form not in (codec.DELTA_VIEW, *codec.WHOLE_VIEWS):
-                raise codec.MalformedInput(f"unknown list form {form}")
-            elif page not in self.pages:
-                raise codec.MalformedInput(f"list {page} was never sent")
-            else:
-                inst.router.apply_endpoint_list(self.pages[page], form != codec.DELTA_VIEW, now)
-                inst.needs_recheck = True
-        elif code == codec.DROPPED:
-            inst.withdrawn(fields[1], now)
-        elif code == codec.CHECKED:
-            _, endpoint, outcome, delay, n, *values = fields
-            inst.router.record_probe(
-                endpoint,
-                codec.outcome(outcome),
-                now,
-                delay * 1000.0,
-                codec.report(inst.report_names, n, values),
-            )
-            inst.needs_recheck = True
-        return inst  # a timer, a started stream or a peer's word only gives the instance its turn
+            self._wakeup_at = at
+            commands.schedule_wakeup(self.number, max(0.0, at - now), WAKEUP_LABEL)
--- a/tests/support/simulated_node.py
+++ b/tests/support/simulated_node.py
@@ -12,20 +12,13 @@
 from support.stream_types import IDEMPOTENT
 from swiftthread.routing.messages import SendOutcome
 from swiftthread.routing.settings import Settings
+from swiftthread.simulator.messages import OUTCOMES_BY_CODE, AttemptResult
 from swiftthread.simulator.sessions import Session
 
 TRACES = Path(__file__).parents[1] / "traces"
 
 
-CODES = {
-    SendOutcome.ACKED: 200,
-    SendOutcome.FAILED: 502,
-    SendOutcome.RATE_LIMITED: 429,
-    SendOutcome.TIMED_OUT: 408,
-    SendOutcome.UNREACHABLE: 521,
-    SendOutcome.RESET: 520,
-    SendOutcome.NOT_EXECUTED: 409,
-}
+CODES = {outcome: code for code, outcome in OUTCOMES_BY_CODE.items()}
 
 
 class SimulatedNode:
@@ -65,16 +58,26 @@
         event = node.add_event(
             self.now, stream, destination, left or node.stream_types[stream].max_age_ms, 0, subject
         )
-        event.handle, self.session.pending[ticket] = ticket, event
-        self.session.ask(event)
+        self.session.hold(event, ticket)
 
     def over(self, ticket, endpoint, outcome, delay, told=0.0):
         self.say(f"{outcome} {ticket} at {endpoint}" + (f", told to wait {told:.0f}" if told else ""))
         code = CODES[outcome]
-        self.session.resolved(ticket, endpoint, code, code == 200, delay / 1000.0, told, (0,), self.now, self)
+        result = AttemptResult(
+            instance=self.session.number,
+            ticket=ticket,
+            latency_s=delay / 1000.0,
+            endpoint=endpoint,
+            is_event_finished=code == 200,
+            attempt=0,
+            outcome_code=code,
+            retry_after_ms=told,
+            report_length=0,
+        )
+        self.session.record_attempt(result, self.now, self)
 
     def withdraw(self, ticket):
-        self.session.withdrawn(ticket, self.now)
+        self.session.withdraw(ticket, self.now)
 
     # what the instance asks for, as the wire's reply would carry it
 
@@ -85,10 +88,10 @@
             delay, outcome, told = allow, SendOutcome.TIMED_OUT, ()
         self.at(self.now + delay, self.over, ticket, endpoint, outcome, delay, *told)
 
-    def decline(self, _node, ticket, come_back):
+    def reject(self, _node, ticket, come_back):
         self.say(f"decline {ticket}, come back after {come_back:.0f}")
 
-    def discard(self, _node, ticket):
+    def abandon(self, _node, ticket):
         self.say(f"discard {ticket}")
 
     def probe(self, _node, endpoint):
@@ -101,10 +104,10 @@
     def close_idle(self, _node, endpoint):
         self.say(f"close idle connections to {endpoint}")
 
-    def listen(self, _node):
+    def watch_endpoint_list(self, _node):
         self.say("ask for the list")
 
-    def ring(self, _node, delay, _label):
+    def schedule_wakeup(self, _node, delay, _label):
         self.at(self.now + delay, lambda: None)
 
     def say(self, line):
