--- a/tests/test_effects.py
+++ b/tests/node/test_effects.py
@@ -3,12 +3,13 @@
 import json
 import random
 import signal
+import socket
 import threading
 import time
 
 import pytest
-from support.effect_rules import Rules, Seen, broken
-from support.fake_servers import GatedEndpoint
+from support.effect_rules import SLACK_S, Rules, Seen, broken
+from support.fake_servers import FakeHttpServer, GatedEndpoint
 from support.node_process import NodeProcess, lane, until
 
 ONCE, ZONE, ALL, FREELY = Rules(True), Rules(True, "zone", 2.0), Rules(True, "all", 2.0), Rules(False)
@@ -147,6 +148,28 @@
             endpoint.hear()
 
 
+def test_a_call_arrives_with_its_last_byte_though_its_sender_is_killed_before_it_is_accepted():
+    """The kernel's stamp was that of the close: it made a call seem late by up to two seconds."""
+    arrivals = []
+
+    def answer(*_request):
+        arrivals.append(server.came.at)
+        return 200, [], b""
+
+    server = FakeHttpServer(answer)
+    address = server.listener.getsockname()
+    server.gate.clear()
+    with socket.create_connection(address):  # the one that is accepted in any case
+        until(lambda: server.accepted == 1)
+        with socket.create_connection(address) as sender:
+            sent_at = time.time()
+            sender.sendall(b"GET /ping HTTP/1.1\r\nHost: endpoint\r\n\r\n")
+            time.sleep(0.5)
+        server.gate.set()
+        until(lambda: arrivals)
+    assert abs(arrivals[0] - sent_at) < SLACK_S
+
+
 @pytest.mark.parametrize("seed", [1, 3])
 def test_no_effect_happens_twice_whatever_receivers_and_processes_do(tmp_path, seed):
     """Sends whose connection came up late, of a process that stood still or was killed.
--- a/tests/support/fake_servers.py
+++ b/tests/support/fake_servers.py
@@ -2,6 +2,7 @@
 
 import contextlib
 import json
+import math
 import select
 import socket
 import struct
@@ -12,6 +13,25 @@
 
 from swiftthread.network.connection import STAMP, STAMP_ROOM, STAMPED
 
+PEER_CLOSED_STATES = (7, 8)  # Linux, tcp_info: CLOSE, CLOSE_WAIT
+LAST_DATA_AGE_MS = struct.Struct("I")  # tcp_info's tcpi_last_data_recv
+LAST_DATA_AGE_OFFSET = 52
+LAST_DATA_AGE_END = LAST_DATA_AGE_OFFSET + LAST_DATA_AGE_MS.size
+
+
+def last_data_at_before_close(conn):
+    """Unix s at which the last data came on a connection that its peer has closed; inf while it is open.
+
+    The kernel stamps unread data anew when the peer's close joins it, which may be seconds later: a process
+    was killed whose call waited to be accepted. `tcpi_last_data_recv` is about data alone, in the kernel's
+    ticks.
+    """
+    state_and_age = conn.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_AGE_END)
+    if state_and_age[0] not in PEER_CLOSED_STATES:
+        return math.inf
+    (age_ms,) = LAST_DATA_AGE_MS.unpack_from(state_and_age, LAST_DATA_AGE_OFFSET)
+    return time.time() - age_ms / 1000.0
+
 
 class FakeHttpServer:
     """An HTTP/1.1 server of threads.
@@ -71,7 +91,7 @@
         for level, kind, stamp in notes:
             if (level, kind) == (socket.SOL_SOCKET, STAMP):
                 seconds, nanos = STAMPED.unpack(stamp)
-                self.came.at = seconds + nanos / 1e9
+                self.came.at = min(seconds + nanos / 1e9, last_data_at_before_close(conn))
         return data
 
     def _reply(self, conn, parser, request, body):
