--- /dev/null
+++ b/tests/node/test_node_retry_after.py
@@ -0,0 +1,73 @@
+"""Retry-After of an endpoint: it holds for the whole destination."""
+
+import socket
+import threading
+import time
+
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, until
+
+from swiftthread.routing.events import Destination
+from swiftthread.routing.router import Endpoint
+
+REJECTED = (429, [("Retry-After", "0.6")], b"")
+
+
+def test_retry_after_is_kept_though_its_answer_breaks_off(tmp_path):
+    endpoint = FakeEndpoint(b"HTTP/1.1 429 Full\r\nRetry-After: 0.7\r\nContent-Length: 9\r\n\r\n", 200)
+    with NodeProcess(tmp_path, endpoint) as node:
+        assert node.hand_in() == 202
+        until(lambda: len(endpoint.calls) == 2)
+        assert endpoint.calls[1][0] - endpoint.calls[0][0] > 0.69
+
+
+def test_retry_after_holds_back_all_events_of_the_destination(tmp_path):
+    first, second = FakeEndpoint(REJECTED, 200), FakeEndpoint(REJECTED, 200, ident="s-2")
+    with NodeProcess(tmp_path, first, second) as node:
+        node.hand_in()
+        until(lambda: first.calls or second.calls)
+        for _ in range(4):
+            assert node.hand_in("posting") == 202
+        until(lambda: len(first.calls) + len(second.calls) >= 6)
+        times = sorted(call[0] for call in first.calls + second.calls)
+        waits = [at for at in times[1:] if at - times[0] < 0.6]
+        assert not waits
+
+
+def test_a_call_whose_connect_takes_long_is_not_sent_before_a_later_retry_after(tmp_path):
+    def order(ident):
+        return Endpoint(ident, 0, Destination(1), 0).rank
+
+    first, second = sorted(("s-1", "s-2"), key=order)
+    gate = threading.Event()
+
+    class GatedEndpoint(FakeEndpoint):
+        def _accept(self):
+            gate.wait()
+            super()._accept()
+
+    answer_now = threading.Event()
+    answers = FakeEndpoint(
+        lambda body: answer_now.wait() and (429, [("Retry-After", "1.8")], b""), 200, ident=first
+    )
+    slow = GatedEndpoint(ident=second)
+    slow.listener.listen(0)  # its queue is full until it accepts: the next connect comes up a second later
+    fillers = [socket.socket() for _ in range(3)]
+    for filler in fillers:
+        filler.setblocking(False)
+        filler.connect_ex(slow.listener.getsockname())
+    with NodeProcess(tmp_path, answers, slow, Permissions={"ConnectTimeout": 4.0, "Probes": False}) as node:
+        assert [node.hand_in(left="5000m"), node.hand_in(left="5000m")] == [202, 202]
+        until(
+            lambda: (
+                b'O["evt-1"' in node.log_path().read_bytes() and b'O["evt-2"' in node.log_path().read_bytes()
+            )
+        )
+        told_at = time.monotonic()
+        answer_now.set()
+        gate.set()
+        until(lambda: len(answers.calls) + len(slow.calls) == 3)
+        later = [at for at, *_ in answers.calls[1:] + slow.calls]
+        assert all(at >= told_at + 1.8 for at in later)
+    for filler in fillers:
+        filler.close()
--- /dev/null
+++ b/tests/node/test_node_submission.py
@@ -0,0 +1,107 @@
+"""Submissions of clients: what is accepted, and how the rest is answered."""
+
+import pytest
+from support.fake_servers import FakeEndpoint
+from support.node_process import NodeProcess, until
+
+
+@pytest.fixture(scope="module")
+def node(tmp_path_factory):
+    endpoint = FakeEndpoint()
+    with NodeProcess(tmp_path_factory.mktemp("served"), endpoint) as node:
+        node.endpoint = endpoint
+        yield node
+
+
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        (b"nonsense\r\n\r\n", 400),
+        (b"POST /notice HTTP/1.1\r\nHost: n\r\nX: " + b"y" * 40000, 431),
+        (b"POST /notice HTTP/1.1\r\nHost: n\r\nContent-Length: 70000\r\n\r\n" + bytes(66000), 413),
+        (b"POST /notice HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n", 400),
+        (b"POST /notice HTTP/1.1\r\nHost: n\r\nContent-Length: -5\r\n\r\n", 400),
+        (b"POST /notice HTTP/1.1\r\nHost: n\r\nContent-Length: 99999999999999999999\r\n\r\n", 413),
+        (b"GET /elsewhere HTTP/1.1\r\nHost: n\r\n\r\n", 404),
+    ],
+)
+def test_malformed_requests_get_a_plain_answer(node, data, status):
+    assert int(node.raw(data).split()[1]) == status
+    assert node.hand_in() == 202
+
+
+@pytest.mark.parametrize(
+    "change, status",
+    [
+        ({"X-Remaining": "soon"}, 400),
+        ({"X-Remaining": None}, 400),
+        ({"X-Txn": ""}, 400),
+        ({"X-Txn": "a b"}, 400),
+        ({"X-Route-To": "dest=seven"}, 400),
+        ({"x-txn": "evt-other"}, 400),
+        ({"X-Remaining": "0m"}, 400),
+        ({"X-Remaining": "99999999999m"}, 400),
+        ({"x-lane": "notice"}, 400),
+        ({"X-Lane": "other"}, 400),
+        ({"Idempotency-Key": "k" * 201}, 400),
+        ({"X-Remaining": "-5m"}, 400),
+    ],
+)
+def test_headers_that_cannot_be_used_are_rejected_for_good(node, change, status):
+    assert node.hand_in(body=b"of no use", **change) == status
+    assert b"of no use" not in node.log_path().read_bytes()
+
+
+def test_half_a_request_and_a_client_that_is_gone_leave_no_trace(node):
+    for part in (1, 40, -1):
+        with node.open() as conn:
+            conn.sendall(node.bytes_of(body=b"half of it")[:part])
+    with node.open() as conn:
+        conn.sendall(node.bytes_of(body=b"half of it")[:-1])
+        assert conn.recv(999).startswith(b"HTTP/1.1 408")
+    assert node.hand_in() == 202 and b"half of" not in node.log_path().read_bytes()
+
+
+def test_an_unknown_destination_is_rejected_until_the_list_names_it(node):
+    assert b"\r\nRetry-After: 0.500\r\n" in node.raw(node.bytes_of(destination=99, body=b"of no use"))
+    assert node.hand_in(destination=99) == 503 and b"of no use" not in node.log_path().read_bytes()
+    late = FakeEndpoint(ident="s-99", cell=99)
+    until(lambda: node.discovery.watches)
+    node.discovery.tell(late.entry())
+    until(lambda: node.hand_in(destination=99) == 202)
+    until(lambda: late.calls)
+
+
+def test_a_request_inside_the_body_of_another_is_never_accepted(node):
+    inner = node.bytes_of(ident="hidden")
+    head = node.bytes_of(body=b"0\r\n\r\n" + inner, ident="outer", **{"Transfer-Encoding": "chunked"})
+    assert node.raw(head).startswith(b"HTTP/1.1 400") and node.hand_in() == 202
+    assert b"hidden" not in node.log_path().read_bytes() and b"outer" not in node.log_path().read_bytes()
+
+
+def test_an_error_reaches_a_client_that_still_sends_sixty_megabytes(node):
+    with node.open() as conn:
+        conn.sendall(node.bytes_of(**{"Content-Length": 60_000_000}))
+        for _ in range(60):
+            conn.sendall(bytes(1_000_000))
+        assert conn.recv(999).startswith(b"HTTP/1.1 413")
+    assert node.hand_in() == 202
+
+
+def test_a_submission_repeated_when_its_event_has_ended_is_the_same_event(node):
+    for _ in range(2):
+        assert node.hand_in("once", ident="crossed") == 202
+        until(lambda: node.has_logged_end("crossed"))
+    assert node.endpoint.idents().count("crossed") == 1
+
+
+def test_the_longest_ids_are_accepted_and_delivered(node):
+    assert node.hand_in("posting", bytes(65536), ident="i" * 200, **{"Idempotency-Key": "k" * 200}) == 202
+    until(lambda: node.has_logged_end("i" * 200))
+
+
+def test_several_requests_on_one_connection(node):
+    with node.open() as conn:
+        for _ in range(3):
+            conn.sendall(node.bytes_of())
+            assert conn.recv(999).startswith(b"HTTP/1.1 202")
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -152,6 +152,9 @@
     def log_path(self):
         return self.state / "ledger"
 
+    def has_logged_end(self, event_id):
+        return b'E["%s"]' % event_id.encode() in self.log_path().read_bytes()
+
     def held(self):
         """Ids of the events that its log holds."""
         held = {}
