--- a/tests/node/test_node_limits.py
+++ b/tests/node/test_node_limits.py
@@ -5,7 +5,7 @@
 import time
 
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, exchange, until
 
 
 def test_a_full_disk_quota_sheds_load_early_and_recovers(tmp_path):
@@ -37,8 +37,7 @@
         limit = resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE)
         open_ = len(os.listdir(f"/proc/{node.process.pid}/fd"))
         with node.open() as conn:
-            conn.sendall(node.bytes_of("once"))
-            assert conn.recv(999).startswith(b"HTTP/1.1 202")
+            assert exchange(conn, node.bytes_of("once")).startswith(b"HTTP/1.1 202")
             until(lambda: endpoint.calls)
             resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (open_, limit[1]))
             conn.sendall(node.bytes_of("once"))  # neither a call nor another client gets a descriptor
@@ -46,8 +45,7 @@
             waiting = node.open()
             time.sleep(0.3)
             resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, limit)
-            waiting.sendall(node.bytes_of("once"))
-            assert waiting.recv(999).startswith(b"HTTP/1.1 202")
+            assert exchange(waiting, node.bytes_of("once")).startswith(b"HTTP/1.1 202")
         until(lambda: set(endpoint.idents()) | set(node.notices()) == {"evt-1", "evt-2", "evt-3"})
         assert set(node.notices().values()) <= {"handed_back"} and "Too many open files" in node.said()
 
@@ -81,34 +79,28 @@
     with NodeProcess(tmp_path, FakeEndpoint(), limits={"sockets": 96}) as node:
         again, said = node.open(), []
         for _ in range(2):
-            again.sendall(node.bytes_of())
-            assert b"close" not in again.recv(999)
+            assert b"close" not in exchange(again, node.bytes_of())
         staying = [node.open() for _ in range(25)]
         for conn in staying:
-            conn.sendall(node.bytes_of())
-            said.append(conn.recv(999))
+            said.append(exchange(conn, node.bytes_of()))
         kept = [conn for conn, text in zip(staying, said, strict=True) if b"Connection: close" not in text]
         assert all(text.startswith(b"HTTP/1.1 202") for text in said) and 4 < len(kept) < 13
         assert all(conn.recv(1) == b"" for conn in staying if conn not in kept)
-        again.sendall(node.bytes_of())
-        assert b"close" not in again.recv(999)
+        assert b"close" not in exchange(again, node.bytes_of())
 
 
 def test_silent_connections_are_closed_in_time_and_never_at_a_client_s_cost(tmp_path):
     with NodeProcess(tmp_path, FakeEndpoint(), limits={"sockets": 256}) as node:
         client, began = node.open(), time.monotonic()
-        client.sendall(node.bytes_of())
-        assert client.recv(999).startswith(b"HTTP/1.1 202")
+        assert exchange(client, node.bytes_of()).startswith(b"HTTP/1.1 202")
         half = node.open()
         half.sendall(node.bytes_of()[:60])
         silent = [node.open() for _ in range(300)]
-        client.sendall(node.bytes_of())
-        assert client.recv(999).startswith(b"HTTP/1.1 202")
+        assert exchange(client, node.bytes_of()).startswith(b"HTTP/1.1 202")
         assert len(os.listdir(f"/proc/{node.process.pid}/fd")) < 256
         assert half.recv(999) == b""
         for conn in silent:
             assert conn.recv(1) == b""
             conn.close()
         assert time.monotonic() - began < 3.0
-        client.sendall(node.bytes_of())
-        assert client.recv(999).startswith(b"HTTP/1.1 202")
+        assert exchange(client, node.bytes_of()).startswith(b"HTTP/1.1 202")
--- a/tests/node/test_node_retry_after.py
+++ b/tests/node/test_node_retry_after.py
@@ -41,7 +41,7 @@
     first, second = sorted(("s-1", "s-2"), key=order)
     gate = threading.Event()
 
-    class GatedEndpoint(FakeEndpoint):
+    class LateAcceptingEndpoint(FakeEndpoint):
         def _accept(self):
             gate.wait()
             super()._accept()
@@ -50,7 +50,7 @@
     answers = FakeEndpoint(
         lambda body: answer_now.wait() and (429, [("Retry-After", "1.8")], b""), 200, ident=first
     )
-    slow = GatedEndpoint(ident=second)
+    slow = LateAcceptingEndpoint(ident=second)
     slow.listener.listen(0)  # its queue is full until it accepts: the next connect comes up a second later
     fillers = [socket.socket() for _ in range(3)]
     for filler in fillers:
--- a/tests/node/test_node_shutdown.py
+++ b/tests/node/test_node_shutdown.py
@@ -4,7 +4,7 @@
 import time
 
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, exchange, until
 
 
 def test_sigterm_accepts_events_that_cross_it_and_sends_to_the_end(tmp_path):
@@ -29,8 +29,7 @@
     with NodeProcess(tmp_path, endpoint) as node:
         conns = [node.open() for _ in range(3)]
         for conn in conns:
-            conn.sendall(node.bytes_of("once"))
-            assert conn.recv(999).startswith(b"HTTP/1.1 202")
+            assert exchange(conn, node.bytes_of("once")).startswith(b"HTTP/1.1 202")
         half = node.open()
         half.sendall(node.bytes_of("once")[:-2])
         time.sleep(0.3)
--- a/tests/node/test_node_submission.py
+++ b/tests/node/test_node_submission.py
@@ -2,7 +2,7 @@
 
 import pytest
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, exchange, until
 
 
 @pytest.fixture(scope="module")
@@ -57,8 +57,7 @@
         with node.open() as conn:
             conn.sendall(node.bytes_of(body=b"half of it")[:part])
     with node.open() as conn:
-        conn.sendall(node.bytes_of(body=b"half of it")[:-1])
-        assert conn.recv(999).startswith(b"HTTP/1.1 408")
+        assert exchange(conn, node.bytes_of(body=b"half of it")[:-1]).startswith(b"HTTP/1.1 408")
     assert node.hand_in() == 202 and b"half of" not in node.log_path().read_bytes()
 
 
@@ -103,5 +102,4 @@
 def test_several_requests_on_one_connection(node):
     with node.open() as conn:
         for _ in range(3):
-            conn.sendall(node.bytes_of())
-            assert conn.recv(999).startswith(b"HTTP/1.1 202")
+            assert exchange(conn, node.bytes_of()).startswith(b"HTTP/1.1 202")
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What the tests share: stand-ins, processes and simulated instances."""
+"""What the tests share: fake servers, the node as a process, and simulated nodes."""
--- a/tests/support/effect_rules.py
+++ b/tests/support/effect_rules.py
@@ -1,15 +1,15 @@
-"""A referee of "no effect twice" over all that receivers saw.
+"""Checks that no event had its effect twice.
 
-Sends, effects by key, and what the platform was told.
+From the calls that endpoints saw, the effects by idempotency key, and the notified outcomes.
 """
 
 from typing import NamedTuple
 
-SLACK_S = 0.05  # the protocol page's: every time limit on sockets is longer by this
+SLACK_S = 0.05  # by which every time limit on sockets is longer, as the protocol says
 
 
 class Seen(NamedTuple):
-    """A call at a receiver.
+    """A call at an endpoint.
 
     `at`: Unix s at which its last byte had come; `ran`: False if it surely had no effect.
     """
@@ -22,7 +22,7 @@
 
 
 class Rules(NamedTuple):
-    """What holds for a stream type. `group`: None where repeats are known nowhere."""
+    """Contract of a stream type. `group`: None where no endpoint recognises repeats."""
 
     once: bool  # its effect may happen only once
     group: str | None = None  # "zone" or "all"
@@ -30,7 +30,7 @@
 
 
 def broken(calls, rules, notices):
-    """A line for each break, in order of time.
+    """A line for each violation, in order of time.
 
     `rules`: event id -> Rules; `notices`: rows (Unix s, id, outcome).
     """
@@ -64,9 +64,9 @@
 
 
 def _effect(found, effects, rule, call):
-    """What the receiver does of it: a repeat that its group knows has no effect.
+    """Note the effect of a call, unless it is a repeat that its group recognises.
 
-    Two of one key are too many.
+    Two effects of one key are a violation.
     """
     known = [
         at
--- a/tests/support/fake_servers.py
+++ b/tests/support/fake_servers.py
@@ -41,14 +41,17 @@
     """
 
     def __init__(self, answer, idle_s=None):
-        self.answer, self.idle_s, self.accepted, self.conns = answer, idle_s, 0, []
+        self.answer = answer
+        self.idle_s = idle_s
+        self.accepted = 0
+        self.conns = []
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.listener.setsockopt(socket.SOL_SOCKET, STAMP, 1)  # whom it accepts has it too
-        self.came = (
-            threading.local()
-        )  # `at`: Unix s at which the kernel had the last byte of the request answered
+        self.listener.setsockopt(socket.SOL_SOCKET, STAMP, 1)  # accepted connections inherit it
+        # `at`: Unix s at which the kernel had the last byte of the request that this thread answers.
+        self.came = threading.local()
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.gate = threading.Event()  # while it is not set nobody is accepted
+        # While it is not set no connection is accepted, but for one that `accept` waits for already.
+        self.gate = threading.Event()
         self.gate.set()
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -99,7 +102,7 @@
         said = self.answer(request.method.decode(), request.target.decode(), headers, body)
         if said is None:
             conn.settimeout(30)
-            conn.recv(1)  # until the other side gives up
+            conn.recv(1)  # until the peer gives up
         elif said == "reset":
             conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         elif isinstance(said, bytes):
@@ -118,7 +121,7 @@
         return False
 
     def cut(self):
-        """Reset the connections, and take no more."""
+        """Shut the connections down, and accept no more."""
         self.listener.shutdown(socket.SHUT_RDWR)  # a close alone leaves a blocked accept to take one more
         self.listener.close()
         for conn in self.conns:
@@ -127,22 +130,21 @@
 
 
 class FakeEndpoint(FakeHttpServer):
-    """Answers its calls as the script says, one entry a call, the last for all that follow.
+    """An endpoint that answers as a script says: an entry for each call, the last for all that follow.
 
-    Keeps them in `calls`.
+    `calls` keeps them as (monotonic s, target, headers, body).
     """
 
     def __init__(self, *script, ident="s-1", cell=1, **more):
         super().__init__(self._call, **more)
-        self.ident, self.cell, self.script, self.calls, self.probes = (
-            ident,
-            cell,
-            list(script) or [200],
-            [],
-            0,
-        )
+        self.ident = ident
+        self.cell = cell
+        self.script = list(script) or [200]
+        self.calls = []
+        self.probes = 0
 
     def entry(self, state="SERVING", weight=0.0):
+        """The endpoint as an entry of discovery's list."""
         return {
             "id": self.ident,
             "addr": self.address,
@@ -165,14 +167,15 @@
         return (said, [], b"") if isinstance(said, int) else said
 
     def idents(self):
+        """Event ids of the calls, in order; none may be a batch."""
         return [headers["x-txn"] for _, _, headers, _ in self.calls]
 
 
 class GatedEndpoint(FakeEndpoint):
-    """An endpoint that can be shut.
+    """An endpoint whose accept queue can be filled.
 
-    Then its queue of connections is full, and the kernel drops what asks for one. Who asked meanwhile asks
-    again a second later, as TCP does: a connection that comes up late.
+    The kernel then drops connection requests, and TCP repeats them a second later: such a connection comes up
+    late.
     """
 
     def __init__(self, *script, **more):
@@ -185,6 +188,7 @@
         super()._serve(conn)
 
     def shut(self):
+        """Accept no more, and fill the accept queue."""
         self.gate.clear()
         while True:
             sock = socket.socket()
@@ -195,18 +199,23 @@
                 return
 
     def hear(self):
+        """Empty the accept queue, and accept again."""
         while self.crowd:
             self.crowd.pop().close()
         self.gate.set()
 
 
 class FakeDiscovery(FakeHttpServer):
-    """Holds a list, tells its changes to all watches, and takes notices."""
+    """Discovery: keeps an endpoint list, sends its changes to all watches, and receives notifications."""
 
     def __init__(self, *entries):
         super().__init__(self._ask)
         self.page = {"version": 1, "full": True, "servers": list(entries)}
-        self.watches, self.notices, self.refusing, self.targets, self.silent = [], [], 0, [], False
+        self.watches = []
+        self.notices = []
+        self.refusing = 0  # how many notifications are answered with 500
+        self.targets = []
+        self.silent = False  # whether the watches lack their keep-alive lines
 
     def _ask(self, method, target, headers, body):
         if method == "POST":
@@ -233,13 +242,14 @@
         conn.sendall(b"%x\r\n%s\r\n" % (len(data), data))
 
     def tell(self, *entries):
+        """Send a change of the list to all watches."""
         self.page = {"version": self.page["version"] + 1, "full": False, "servers": list(entries)}
         for conn in self.watches:
-            # A watch that the node has left.
-            with contextlib.suppress(OSError):
+            with contextlib.suppress(OSError):  # a watch that the node has left
                 self._line(conn, json.dumps(self.page))
 
     def lose_watches(self):
+        """Shut all watches down."""
         watches, self.watches = self.watches, []
         for conn in watches:
             conn.shutdown(socket.SHUT_RDWR)
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -1,4 +1,4 @@
-"""The program as a process, with its configuration, its folder and its discovery."""
+"""The node as a process, with its configuration, its state folder and its discovery."""
 
 import json
 import os
@@ -15,6 +15,7 @@
 
 
 def lane(name, effect, **more):
+    """A stream type of the settings document (`Profiles`), other keys given by name."""
     return {"Name": name, "Effect": effect, "Aim": 1.5, "Deadline": 5.0, "Value": 1.0, "Group": "all"} | more
 
 
@@ -51,7 +52,8 @@
     }
 
     def __init__(self, folder, *endpoints, known=True, limits=(), environ=None, **settings):
-        self.folder, self.discovery = folder, FakeDiscovery(*[endpoint.entry() for endpoint in endpoints])
+        self.folder = folder
+        self.discovery = FakeDiscovery(*[endpoint.entry() for endpoint in endpoints])
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
         self.state = folder / "state"
@@ -71,10 +73,14 @@
         }
         if known:
             conf["known"] = self.discovery.page
-        self.conf, self.parts = folder / "config.json", conf
+        self.conf = folder / "config.json"
+        self.parts = conf
         self.conf.write_text(json.dumps(conf))
-        self.count, self.process, self.environ = count(1), None, environ or {}
-        self.module, self.home = "swiftthread", None  # what is started, and from which folder
+        self.count = count(1)
+        self.process = None
+        self.environ = environ or {}
+        self.module = "swiftthread"  # what is started
+        self.home = None  # its working directory; None: that of the tests
 
     def __enter__(self):
         return self.start()
@@ -87,7 +93,7 @@
         self.discovery.listener.close()
 
     def reload(self, text=None, **parts):
-        """Put a new configuration in the old one's place, as text or with other parts, and say so."""
+        """Replace the configuration, by a text or by other parts, and send SIGHUP."""
         fresh = self.folder / "config.new"
         fresh.write_text(text or json.dumps(self.parts | parts))
         fresh.replace(self.conf)
@@ -116,12 +122,13 @@
         return socket.create_connection(("127.0.0.1", self.port), timeout=5)
 
     def raw(self, data):
-        """What one connection answers to these bytes, up to its first answer's end or its close."""
+        """Send bytes on a connection of their own, and return what one read brings of the answer."""
         with self.open() as conn:
             conn.sendall(data)
             return conn.recv(4096)
 
     def bytes_of(self, stream="notice", body=b"hello", destination=1, left="4000m", ident=None, **headers):
+        """A client's request; a header given as None is left out."""
         ident = ident or f"evt-{next(self.count)}"
         head = {
             "Host": "api.internal",
@@ -135,9 +142,11 @@
         return f"POST /{stream} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
     def hand_in(self, *args, **more):
+        """Submit an event (arguments: `bytes_of`), and return the status of the answer."""
         return int(self.raw(self.bytes_of(*args, **more)).split()[1])
 
     def notices(self):
+        """Event id -> final outcome, as discovery was notified of them."""
         return {row["message"]: row["outcome"] for row in self.discovery.notices}
 
     def stop(self, how=signal.SIGTERM):
@@ -145,7 +154,7 @@
         return self.process.wait(timeout=10)
 
     def said(self):
-        """What it logged, once it is stopped."""
+        """Stop it, and return what it logged."""
         self.stop()
         return self.process.stderr.read().decode()
 
@@ -153,10 +162,11 @@
         return self.state / "ledger"
 
     def has_logged_end(self, event_id):
+        """Whether the write-ahead log holds the record that ends this event."""
         return b'E["%s"]' % event_id.encode() in self.log_path().read_bytes()
 
     def held(self):
-        """Ids of the events that its log holds."""
+        """Ids of the events that are pending by its write-ahead log."""
         held = {}
         for _, _, kind, payload in records(self.log_path().read_bytes()):
             if kind in (TAKEN, ENDED):
@@ -167,7 +177,14 @@
         return {ident for ident, is_held in held.items() if is_held}
 
 
+def exchange(conn, request):
+    """Send a request on an open connection, and return its answer as far as one read brings it."""
+    conn.sendall(request)
+    return conn.recv(999)
+
+
 def until(true, patience=8.0):
+    """Wait until a condition holds; AssertionError when it does not within so many seconds."""
     end = time.monotonic() + patience
     while not true():
         assert time.monotonic() < end, "what was waited for did not come"
--- a/tests/support/simulated_node.py
+++ b/tests/support/simulated_node.py
@@ -1,4 +1,4 @@
-"""One instance of the decisions in simulated time, and the printed trace of what it decides.
+"""One router session in simulated time, and the trace of what it decides.
 
 A trace lives in tests/traces/ and is read by people. After a wanted change of behaviour, run the tests with
 WRITE_TRACES=1 once, then read the difference before it is committed.
@@ -16,15 +16,14 @@
 from swiftthread.simulator.sessions import Session
 
 TRACES = Path(__file__).parents[1] / "traces"
-
-
 CODES = {outcome: code for code, outcome in OUTCOMES_BY_CODE.items()}
 
 
 class SimulatedNode:
-    """One instance, a clock, and receivers that answer as `answers(ticket, sink, now)` says.
+    """A session, a clock, and endpoints that answer as `answers(ticket, endpoint, now)` says.
 
-    A tuple of (delay, outcome[, told wait]); None is silence until the time-out.
+    An answer is a tuple of (delay, outcome[, retry after]); None is silence until the time-out. All times are
+    in ms. The node is the `CommandWriter` of its session; `lines` is the trace.
     """
 
     def __init__(
@@ -37,30 +36,32 @@
             "cold_capacity_share": 0.2,
             "warm_up_ms": 8000.0,
         } | settings
-        self.session, self.answers, self.lines = (
-            Session(1, 7, Settings(**settings), ["x0", "x1"]),
-            answers,
-            [],
-        )
-        self.now, self.todo, self.turn = 0.0, [], count()
+        self.session = Session(1, 7, Settings(**settings), ["x0", "x1"])
+        self.answers = answers
+        self.lines = []
+        self.now = 0.0
+        self.todo = []  # heap of (moment, order of insertion, function, arguments)
+        self.turn = count()
         self.at(0.0, self.list, endpoints, True)
 
     def at(self, moment, act, *args):
+        """Call a function when the clock gets there."""
         heapq.heappush(self.todo, (moment, next(self.turn), act, args))
 
     def list(self, endpoints, whole=False):
-        """Sinks as (id, destination, zone, kind, listed rate, ready)."""
-        self.session.router.apply_endpoint_list(endpoints, whole, self.now)
-        self.session.needs_recheck = True
+        """Apply an endpoint list, of rows (id, destination, zone, kind, listed rate, ready)."""
+        self.session.apply_endpoint_list(endpoints, whole, self.now)
 
     def take(self, ticket, destination=0, stream=0, left=None, subject=0):
-        node = self.session.router
-        event = node.add_event(
-            self.now, stream, destination, left or node.stream_types[stream].max_age_ms, 0, subject
+        """Submit an event."""
+        router = self.session.router
+        event = router.add_event(
+            self.now, stream, destination, left or router.stream_types[stream].max_age_ms, 0, subject
         )
         self.session.hold(event, ticket)
 
     def over(self, ticket, endpoint, outcome, delay, told=0.0):
+        """End an attempt."""
         self.say(f"{outcome} {ticket} at {endpoint}" + (f", told to wait {told:.0f}" if told else ""))
         code = CODES[outcome]
         result = AttemptResult(
@@ -79,7 +80,7 @@
     def withdraw(self, ticket):
         self.session.withdraw(ticket, self.now)
 
-    # what the instance asks for, as the wire's reply would carry it
+    # Commands of the session.
 
     def send(self, _node, ticket, endpoint, allow):
         self.say(f"send {ticket} -> {endpoint}, allow {allow:.0f}")
@@ -111,9 +112,11 @@
         self.at(self.now + delay, lambda: None)
 
     def say(self, line):
+        """Add a line to the trace."""
         self.lines.append(f"{self.now:8.1f}  {line}")
 
     def play(self, until):
+        """Let the clock run to this moment."""
         while self.todo and self.todo[0][0] <= until:
             self.now = self.todo[0][0]
             while self.todo and self.todo[0][0] <= self.now:
@@ -123,8 +126,9 @@
         return self
 
     def as_kept(self, name):
-        """Compare with the trace kept under this name."""
-        seen, path = "\n".join(self.lines) + "\n", TRACES / f"{name}.txt"
+        """Compare with the trace stored under this name."""
+        path = TRACES / f"{name}.txt"
+        trace = "\n".join(self.lines) + "\n"
         if os.environ.get("WRITE_TRACES"):
-            path.write_text(seen)
-        assert seen == path.read_text()
+            path.write_text(trace)
+        assert trace == path.read_text()
