--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,9 +1,7 @@
-"""A toy world for one node: a destination with two endpoints, and discovery.
+"""A small environment for one node: discovery, and a destination with two endpoints.
 
-It prints what it is told.
-
-Keys while it runs: f + Enter makes the endpoints fail, w + Enter makes them tell a wait, o + Enter heals
-them.
+It prints the calls and notifications that it receives. While it runs, a letter and Enter change how the
+endpoints answer: f makes them fail, w makes them answer 429 with a Retry-After, o makes them succeed.
 """
 
 import contextlib
@@ -11,18 +9,39 @@
 import sys
 import threading
 import time
+from collections.abc import Iterator
+from enum import StrEnum
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-DISCOVERY, ENDPOINTS = 8500, (9101, 9102)
-mood = ["o"]
+HOST = "127.0.0.1"
+DISCOVERY_PORT = 8500
+ENDPOINT_PORTS = (9101, 9102)
+DESTINATION = 7
+RETRY_AFTER_S = 2.0
+KEEP_ALIVE_PAUSE_S = 2.0
+"""Pause between the empty lines that keep a watch open."""
+
+
+class AnswerMode(StrEnum):
+    """How the endpoints answer; the values are what is typed to choose one."""
+
+    SUCCEED = "o"
+    FAIL = "f"
+    RATE_LIMIT = "w"
+
+
+class EndpointServer(ThreadingHTTPServer):
+    """An endpoint's HTTP server, with the answer mode that its handlers read."""
+
+    answer_mode = AnswerMode.SUCCEED
 
 
-class Toy(BaseHTTPRequestHandler):
-    """Shared parts of the toy's HTTP handlers."""
+class JsonHandler(BaseHTTPRequestHandler):
+    """Shared parts of the handlers."""
 
     protocol_version = "HTTP/1.1"
 
-    def say(self, status, *headers, body=b""):
+    def respond(self, status: int, *headers: tuple[str, str], body: bytes = b"") -> None:
         """Answer with a status, headers and a body."""
         self.send_response(status)
         for name, value in (*headers, ("Content-Length", str(len(body)))):
@@ -30,96 +49,113 @@
         self.end_headers()
         self.wfile.write(body)
 
-    def read(self):
+    def read_body(self) -> bytes:
         """Read the request's body."""
         return self.rfile.read(int(self.headers.get("Content-Length") or 0))
 
-    def log_message(self, *_):
-        """Log nothing: the toy prints its own lines."""
-        pass
+    def log_message(self, *_args: object) -> None:
+        """Log nothing: the server prints lines of its own."""
 
 
-class Endpoint(Toy):
-    """An endpoint that takes events."""
+class EndpointHandler(JsonHandler):
+    """An endpoint that receives events."""
 
-    def do_GET(self):
-        """Answer a health probe."""
-        self.say(503 if mood[0] == "f" else 200)
+    server: EndpointServer
 
-    def do_POST(self):
-        """Take an event, as the mood of the moment says."""
-        body, port = self.read(), self.server.server_address[1]
-        rows = json.loads(body) if self.path == "/receive-many" else [{"id": self.headers["X-Txn"]}]
-        if mood[0] == "f":
-            self.say(500)
-        elif mood[0] == "w":
-            self.say(429, ("Retry-After", "2.0"))
+    def do_GET(self) -> None:
+        """Answer a health check."""
+        self.respond(503 if self.server.answer_mode == AnswerMode.FAIL else 200)
+
+    def do_POST(self) -> None:
+        """Receive one event or a batch, and answer by the answer mode."""
+        body = self.read_body()
+        event_ids = self._event_ids(body)
+        mode = self.server.answer_mode
+        if mode == AnswerMode.FAIL:
+            self.respond(500)
+        elif mode == AnswerMode.RATE_LIMIT:
+            self.respond(429, ("Retry-After", str(RETRY_AFTER_S)))
         else:
-            self.say(200, body=json.dumps([{"id": row["id"], "state": "done"} for row in rows]).encode())
-        print(f"endpoint {port}: {[row['id'] for row in rows]}, mood {mood[0]}", flush=True)
-
-
-class Discovery(Toy):
-    """Discovery, and the platform that notices go to."""
-
-    def do_GET(self):
-        """Serve the watch of the endpoint list."""
-        page = {
-            "version": 1,
-            "full": True,
-            "servers": [
-                {
-                    "id": f"s-{port}",
-                    "addr": f"127.0.0.1:{port}",
-                    "zone": "here",
-                    "kind": "shop",
-                    "cell": 7,
-                    "state": "SERVING",
-                    "weight": 20.0,
-                    "started_ms": 0,
-                }
-                for port in ENDPOINTS
-            ],
-        }
+            states = [{"id": event_id, "state": "done"} for event_id in event_ids]
+            self.respond(200, body=json.dumps(states).encode())
+        print(f"endpoint {self.server.server_port}: {event_ids}, answer mode {mode}", flush=True)
+
+    def _event_ids(self, body: bytes) -> list[str]:
+        if self.path == "/receive-many":
+            return [event["id"] for event in json.loads(body)]
+        return [self.headers["X-Txn"]]
+
+
+class DiscoveryHandler(JsonHandler):
+    """Discovery, and the platform that is notified of final outcomes."""
+
+    def do_GET(self) -> None:
+        """Serve the endpoint list, once or as a watch."""
+        endpoint_list = json.dumps(
+            {"version": 1, "full": True, "servers": [endpoint_entry(port) for port in ENDPOINT_PORTS]}
+        )
         if "watch=1" not in self.path:
-            self.say(200, body=json.dumps(page).encode())
+            self.respond(200, body=endpoint_list.encode())
             return
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        try:
-            for line in self.lines(json.dumps(page)):
+        with contextlib.suppress(OSError):  # the node closed the watch
+            for line in watch_lines(endpoint_list):
                 self.wfile.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line.encode()))
                 self.wfile.flush()
-        except OSError:
-            pass
-
-    def lines(self, first):
-        """Yield the lines of the watch: one list, then keep-alive lines."""
-        yield first
-        while True:
-            time.sleep(2)
-            yield ""
-
-    def do_POST(self):
-        """Take notices of events that ended undelivered."""
-        print(f"notice: {self.read().decode().strip()}", flush=True)
-        self.say(204)
-
-
-def main():
-    """Run discovery and two endpoints until interrupted."""
-    for port, kind in [(DISCOVERY, Discovery), *((port, Endpoint) for port in ENDPOINTS)]:
-        server = ThreadingHTTPServer(("127.0.0.1", port), kind)
-        server.daemon_threads = True
-        threading.Thread(target=server.serve_forever, daemon=True).start()
+
+    def do_POST(self) -> None:
+        """Receive notifications of events that ended undelivered."""
+        print(f"notification: {self.read_body().decode().strip()}", flush=True)
+        self.respond(204)
+
+
+def endpoint_entry(port: int) -> dict[str, object]:
+    """An endpoint as discovery lists it."""
+    return {
+        "id": f"s-{port}",
+        "addr": f"{HOST}:{port}",
+        "zone": "here",
+        "kind": "shop",
+        "cell": DESTINATION,
+        "state": "SERVING",
+        "weight": 20.0,
+        "started_ms": 0,
+    }
+
+
+def watch_lines(endpoint_list: str) -> Iterator[str]:
+    """Yield the lines of a watch: one list, then keep-alive lines without end."""
+    yield endpoint_list
+    while True:
+        time.sleep(KEEP_ALIVE_PAUSE_S)
+        yield ""
+
+
+def start(server: ThreadingHTTPServer) -> None:
+    """Serve in threads that end with the process."""
+    server.daemon_threads = True
+    threading.Thread(target=server.serve_forever, daemon=True).start()
+
+
+def main() -> None:
+    """Run discovery and the endpoints until interrupted."""
+    discovery = ThreadingHTTPServer((HOST, DISCOVERY_PORT), DiscoveryHandler)
+    endpoints = [EndpointServer((HOST, port), EndpointHandler) for port in ENDPOINT_PORTS]
+    for server in (discovery, *endpoints):
+        start(server)
+    ports = " and ".join(map(str, ENDPOINT_PORTS))
     print(
-        "discovery on 8500, endpoints of destination 7 on 9101 and 9102; f, w or o + Enter, Ctrl-C ends",
+        f"discovery on {DISCOVERY_PORT}, endpoints of destination {DESTINATION} on {ports}; "
+        "f, w or o + Enter, Ctrl-C ends",
         flush=True,
     )
     for line in sys.stdin:
-        if line.strip() in ("f", "w", "o"):
-            mood[0] = line.strip()
+        with contextlib.suppress(ValueError):  # a line that names no answer mode
+            mode = AnswerMode(line.strip())
+            for endpoint in endpoints:
+                endpoint.answer_mode = mode
     threading.Event().wait()
 
 
