--- a/swiftthread/simulator/codec.py
+++ b/swiftthread/simulator/codec.py
@@ -8,6 +8,7 @@
 
 import struct
 from collections.abc import Iterator, Sequence
+from functools import partial
 from typing import BinaryIO, NamedTuple, Protocol
 
 from swiftthread.routing.messages import EndpointEntry, LoadReport, SendOutcome
@@ -46,16 +47,23 @@
     RecordCode.STOP_INSTANCE: (struct.Struct("<H"), messages.StopInstance),
 }
 """Fields of a record after its code, and the message that they are read as."""
+DECODERS = {
+    int(code): (layout.unpack_from, message_type._make)
+    for code, (layout, message_type) in RECORD_LAYOUTS.items()
+}
+"""What decodes a record: looked up once, for every record of every batch needs it."""
 
 ENDPOINT_PHASES = frozenset(EndpointPhase)
 
-SEND = struct.Struct("<BHIId5x")
-REJECT = struct.Struct("<BHId9x")
-ABANDON = struct.Struct("<BHI17x")
-SCHEDULE_WAKEUP = struct.Struct("<BHdI9x")
-ENDPOINT_COMMAND = struct.Struct("<BHI17x")
-TEXT_COMMAND = struct.Struct("<BHII13x")
-WATCH_ENDPOINT_LIST = struct.Struct("<BHB20x")
+# Each packs a command from the fields after its code.
+pack_send = partial(struct.Struct("<BHIId5x").pack, CommandCode.SEND)
+pack_reject = partial(struct.Struct("<BHId9x").pack, CommandCode.REJECT)
+pack_abandon = partial(struct.Struct("<BHI17x").pack, CommandCode.ABANDON)
+pack_schedule_wakeup = partial(struct.Struct("<BHdI9x").pack, CommandCode.SCHEDULE_WAKEUP)
+pack_probe = partial(struct.Struct("<BHI17x").pack, CommandCode.PROBE)
+pack_close_idle = partial(struct.Struct("<BHI17x").pack, CommandCode.CLOSE_IDLE)
+pack_report_fault = partial(struct.Struct("<BHII13x").pack, CommandCode.REPORT_FAULT)
+pack_watch_endpoint_list = partial(struct.Struct("<BHB20x").pack, CommandCode.WATCH_ENDPOINT_LIST)
 
 
 class Frame(NamedTuple):
@@ -69,16 +77,17 @@
 
     def read_messages(self) -> Iterator[Message]:
         """Read the records in order; ProtocolError at the first whose code is unknown."""
+        records = self.records
         for position in range(self.record_count):
             offset = position * RECORD_SIZE
-            code = self.records[offset]
-            layout = RECORD_LAYOUTS.get(code)
-            if layout is None:
+            code = records[offset]
+            decoder = DECODERS.get(code)
+            if decoder is None:
                 raise ProtocolError(
                     f"batch {self.batch_number}, record {position}: unknown event code {code}"
                 )
-            fields, message_type = layout
-            yield message_type._make(fields.unpack_from(self.records, offset + 1))
+            unpack_from, make_message = decoder
+            yield make_message(unpack_from(records, offset + 1))
 
 
 def read_frame(stream: BinaryIO) -> Frame | None:
@@ -169,41 +178,37 @@
 
     def send(self, instance: int, ticket: int, endpoint: int, timeout_ms: float) -> None:
         """Send an event to an endpoint, and wait for its answer so long."""
-        self._commands.append(SEND.pack(CommandCode.SEND, instance, ticket, endpoint, timeout_ms / 1000.0))
+        self._commands.append(pack_send(instance, ticket, endpoint, timeout_ms / 1000.0))
 
     def reject(self, instance: int, ticket: int, retry_after_ms: float) -> None:
         """Return an event undelivered; its client may retry, best after `retry_after_ms` (0: no advice)."""
-        self._commands.append(REJECT.pack(CommandCode.REJECT, instance, ticket, retry_after_ms / 1000.0))
+        self._commands.append(pack_reject(instance, ticket, retry_after_ms / 1000.0))
 
     def abandon(self, instance: int, ticket: int) -> None:
         """End an event of which it is unknown whether it had an effect."""
-        self._commands.append(ABANDON.pack(CommandCode.ABANDON, instance, ticket))
+        self._commands.append(pack_abandon(instance, ticket))
 
     def schedule_wakeup(self, instance: int, delay_ms: float, label: int) -> None:
         """Wake the instance after a delay."""
-        self._commands.append(
-            SCHEDULE_WAKEUP.pack(CommandCode.SCHEDULE_WAKEUP, instance, delay_ms / 1000.0, label)
-        )
+        self._commands.append(pack_schedule_wakeup(instance, delay_ms / 1000.0, label))
 
     def probe(self, instance: int, endpoint: int) -> None:
         """Check the health of an endpoint."""
-        self._commands.append(ENDPOINT_COMMAND.pack(CommandCode.PROBE, instance, endpoint))
+        self._commands.append(pack_probe(instance, endpoint))
 
     def close_idle(self, instance: int, endpoint: int) -> None:
         """Close the idle connections to an endpoint."""
-        self._commands.append(ENDPOINT_COMMAND.pack(CommandCode.CLOSE_IDLE, instance, endpoint))
+        self._commands.append(pack_close_idle(instance, endpoint))
 
     def report_fault(self, instance: int, text: str) -> None:
         """Tell the simulator that the instance failed."""
         encoded = text.encode()
-        self._commands.append(
-            TEXT_COMMAND.pack(CommandCode.REPORT_FAULT, instance, len(self._tail), len(encoded))
-        )
+        self._commands.append(pack_report_fault(instance, len(self._tail), len(encoded)))
         self._tail += encoded
 
     def watch_endpoint_list(self, instance: int) -> None:
         """Ask for the endpoint list, and for its changes."""
-        self._commands.append(WATCH_ENDPOINT_LIST.pack(CommandCode.WATCH_ENDPOINT_LIST, instance, 1))
+        self._commands.append(pack_watch_endpoint_list(instance, 1))
 
     def encode(self) -> bytes:
         """Return the reply's bytes."""
