--- a/tests/node/test_effects.py
+++ b/tests/node/test_effects.py
@@ -1,4 +1,4 @@
-"""Rule 2 by chance: a real node, killed and stopped, among receivers shut, slow, silent and reset."""
+"""No effect happens twice: a node that is killed and stopped, and endpoints that fail in random ways."""
 
 import json
 import random
@@ -51,102 +51,121 @@
         (FREELY, [Seen(9.0, "e", "k", "b", False)], [(8.9, "e", "handed_back")], "after it was handed_back"),
     ],
 )
-def test_the_referee_names_each_break_and_nothing_else(rule, calls, notices, said):
+def test_the_rules_name_each_violation_and_nothing_else(rule, calls, notices, said):
     found = broken(calls, {"e": rule, "f": rule}, notices)
     assert not found if said is None else any(said in line for line in found), found
 
 
-class Day:
-    """Receivers in two zones, each on a random script, and clients that hand in again what they get back."""
+class RandomEndpoint(GatedEndpoint):
+    """An endpoint whose every answer is drawn, and whose calls are noted in the scenario."""
 
-    STREAMS = {
+    LISTED_RATE = 300.0  # calls/s, so high that trials of a failed endpoint come soon
+    LATE = "late"  # the next attempt meets a full accept queue; its connection comes up a second after that
+    ANSWERS = [200, 500, 503, "reset", None, LATE]
+    ANSWER_WEIGHTS = [4, 2, 4, 3, 5, 3]
+
+    def __init__(self, scenario, seed, zone, **more):
+        super().__init__(**more)
+        self.scenario = scenario
+        self.random = random.Random(seed)
+        self.zone = zone
+        self.answer = self._answer
+
+    def entry(self, state="SERVING", weight=LISTED_RATE):
+        return super().entry(state, weight) | {"zone": self.zone}
+
+    def toggle(self):
+        if self.gate.is_set():
+            self.shut()
+        else:
+            self.hear()
+
+    def _answer(self, method, target, headers, body):
+        arrived_at = self.came.at
+        if method == "GET":
+            return 200, [], b""
+        events = [(headers.get("x-txn"), headers.get("idempotency-key", ""))]
+        if target == "/receive-many":
+            events = [(row["id"], row.get("key", "")) for row in json.loads(body)]
+        with self.scenario.lock:
+            answer = self.random.choices(self.ANSWERS, self.ANSWER_WEIGHTS)[0]
+            self.scenario.calls += [
+                Seen(arrived_at, ident, key, self.zone, answer != 503) for ident, key in events
+            ]
+            pause = self.random.choice([0.0, 0.05, 0.4])
+        if answer == self.LATE:
+            self.shut()
+            time.sleep(1.15)
+            threading.Timer(0.3, self.hear).start()
+            return "reset"
+        time.sleep(pause)
+        if len(events) > 1 and answer == 200:
+            answer = 500
+        return (answer, [], b"") if isinstance(answer, int) else answer
+
+
+class Scenario:
+    """A node, random endpoints in two zones, and clients whose events have every kind of contract."""
+
+    STREAM_TYPES = {
         "once": (ONCE, lane("once", "fragile", Deadline=6.0)),
         "zonal": (ZONE, lane("zonal", "dedup", Group="zone", Window=2.0, Deadline=6.0)),
         "wide": (ALL, lane("wide", "dedup", Group="all", Window=2.0, Deadline=6.0)),
         "notice": (FREELY, lane("notice", "retryable", Deadline=6.0)),
     }
-
-    CELLS, RATE = 4, 300.0  # destinations; calls/s listed for each, so that trials of a lost one come soon
+    DESTINATIONS = 4
 
     def __init__(self, folder, seed):
-        self.chance, self.calls, self.rules, self.notices, self.lock = (
-            random.Random(seed),
-            [],
-            {},
-            [],
-            threading.Lock(),
-        )
+        self.random = random.Random(seed)
+        self.lock = threading.Lock()
+        self.calls = []
+        self.rules = {}
+        self.notifications = []  # (Unix s, event id, outcome)
         self.endpoints = [
-            self._endpoint(f"s-{number}", 1 + number // 3, "west" if number % 3 else "east")
-            for number in range(3 * self.CELLS)
+            RandomEndpoint(
+                self,
+                self.random.random(),
+                "west" if number % 3 else "east",
+                ident=f"s-{number}",
+                cell=1 + number // 3,
+            )
+            for number in range(3 * self.DESTINATIONS)
         ]
-        self.program = NodeProcess(
+        self.node = NodeProcess(
             folder,
             *self.endpoints,
-            Profiles=[profile for _, profile in self.STREAMS.values()],
+            Profiles=[profile for _, profile in self.STREAM_TYPES.values()],
             Domain={"KindBatch": [4], "CallsOut": 60},
             Permissions={"ConnectTimeout": 4.0, "MaxOpen": 400},
             Localities=["east", "west"],
             Weights="nominal",
         )
-        self.told = self.program.discovery.answer
-        self.program.discovery.answer = self._platform
-
-    def _endpoint(self, ident, cell, zone):
-        endpoint, chance = GatedEndpoint(ident=ident, cell=cell), random.Random(self.chance.random())
-        endpoint.entry = lambda entry=endpoint.entry: entry(weight=self.RATE) | {"zone": zone}
-
-        def answer(method, target, headers, body):
-            at, rows = endpoint.came.at, [(headers.get("x-txn"), headers.get("idempotency-key", ""))]
-            if method == "GET":
-                return 200, [], b""
-            if target == "/receive-many":
-                rows = [(row["id"], row.get("key", "")) for row in json.loads(body)]
-            with self.lock:
-                said = chance.choices([200, 500, 503, "reset", None, "late"], [4, 2, 4, 3, 5, 3])[0]
-                self.calls += [Seen(at, ident, key, zone, said != 503) for ident, key in rows]
-                pause = chance.choice([0.0, 0.05, 0.4])
-            if said == "late":  # the next send meets it shut, and its connection comes up a second after that
-                endpoint.shut()
-                time.sleep(1.15)
-                threading.Timer(0.3, endpoint.hear).start()
-                return "reset"
-            time.sleep(pause)
-            if len(rows) > 1 and said == 200:
-                said = 500
-            return (said, [], b"") if isinstance(said, int) else said
-
-        endpoint.answer = answer
-        return endpoint
-
-    def _platform(self, method, target, headers, body):
-        came = self.program.discovery.came.at
-        before = len(self.program.discovery.notices)
-        said = self.told(method, target, headers, body)
+        self._answer_of_discovery = self.node.discovery.answer
+        self.node.discovery.answer = self._receive_notification
+
+    def _receive_notification(self, method, target, headers, body):
+        discovery = self.node.discovery
+        arrived_at = discovery.came.at
+        before = len(discovery.notices)
+        answer = self._answer_of_discovery(method, target, headers, body)
         with self.lock:
-            self.notices += [
-                (came, row["message"], row["outcome"]) for row in self.program.discovery.notices[before:]
+            self.notifications += [
+                (arrived_at, row["message"], row["outcome"]) for row in discovery.notices[before:]
             ]
-        return said
+        return answer
 
-    def hand_in(self, number):
-        stream = self.chance.choice(list(self.STREAMS))
+    def submit(self, number):
+        stream_type = self.random.choice(list(self.STREAM_TYPES))
         ident = f"evt-{number}"
-        self.rules[ident] = self.STREAMS[stream][0]
-        self.program.hand_in(
-            stream,
+        self.rules[ident] = self.STREAM_TYPES[stream_type][0]
+        self.node.hand_in(
+            stream_type,
             ident=ident,
             left="5500m",
-            destination=self.chance.randint(1, self.CELLS),
+            destination=self.random.randint(1, self.DESTINATIONS),
             **{"Idempotency-Key": f"key-{number}"},
         )
 
-    def outage(self, endpoint):
-        if endpoint.gate.is_set():
-            endpoint.shut()
-        else:
-            endpoint.hear()
-
 
 def test_a_call_arrives_with_its_last_byte_though_its_sender_is_killed_before_it_is_accepted():
     """The kernel's stamp was that of the close: it made a call seem late by up to two seconds."""
@@ -172,15 +191,15 @@
 
 @pytest.mark.parametrize("seed", [1, 3])
 def test_no_effect_happens_twice_whatever_receivers_and_processes_do(tmp_path, seed):
-    """Sends whose connection came up late, of a process that stood still or was killed.
+    """Attempts whose connection came up late, of a process that stood still or was killed.
 
     Each had its turn to break it.
     """
-    day = Day(tmp_path, seed)
-    with day.program as node:
+    scenario = Scenario(tmp_path, seed)
+    with scenario.node as node:
         for number in range(240):
             if number % 12 == 5:
-                day.outage(day.chance.choice(day.endpoints))
+                scenario.random.choice(scenario.endpoints).toggle()
             if number in (70, 150):
                 node.process.send_signal(signal.SIGSTOP)
                 time.sleep(0.9)
@@ -188,11 +207,12 @@
             if number == 110:
                 node.stop(signal.SIGKILL)
                 node.start()
-            day.hand_in(number)
+            scenario.submit(number)
             time.sleep(0.02)
-        for endpoint in day.endpoints:
+        for endpoint in scenario.endpoints:
             endpoint.hear()
         until(lambda: not node.held(), 12.0)
-    again = len(day.calls) - len({call.ident for call in day.calls})
-    assert not broken(day.calls, day.rules, day.notices)
-    assert again > 50 and len({call.ident for call in day.calls if call.ran}) > 100
+    calls = scenario.calls
+    repeated = len(calls) - len({call.ident for call in calls})
+    assert not broken(calls, scenario.rules, scenario.notifications)
+    assert repeated > 50 and len({call.ident for call in calls if call.ran}) > 100
