--- a/tests/service/test_pending_queues.py
+++ b/tests/service/test_pending_queues.py
@@ -356,7 +356,7 @@
     for event in (first, last):
         router.record_outcome(event, SendOutcome.RATE_LIMITED, 50.0, 50.0)
         queues.add(event, 50.0)
-    router.capacity = 1
+    router.pending.capacity = 1
     moved = [event for event, _ in queues.tick(60.0)]
     assert len(moved) == len(set(moved)) == 2 and len(queues) == 1
     groups = queues.groups.values()
