--- a/swiftthread/routing/idle_connections.py
+++ b/swiftthread/routing/idle_connections.py
@@ -21,10 +21,10 @@
     def __init__(self, settings: Settings) -> None:
         self.has_keepalive = settings.keepalive_ms < math.inf
         self.newly_idle: dict[Endpoint, bool] = {}
-        """Endpoints at which a call has ended; emptied each turn."""
+        """Endpoints at which a call has ended; emptied each tick."""
 
     def note_call_ended(self, endpoint: Endpoint) -> None:
-        """Look at the connections to this endpoint at the end of the turn."""
+        """Look at the connections to this endpoint at the end of the tick."""
         self.newly_idle[endpoint] = True
 
     def take_disconnectable(self, now: float) -> list[Endpoint]:
--- a/swiftthread/routing/rate_limiter.py
+++ b/swiftthread/routing/rate_limiter.py
@@ -42,7 +42,7 @@
 ASSUMED_RATE_PER_MS = 0.004
 # Emission intervals by which a call may be early.
 BURST_TOLERANCE = 0.3
-# ms past its moment in which a slot counts as kept; a few turns of the caller.
+# ms past its moment in which a slot counts as kept; a few ticks of the caller.
 SLOT_SLACK_MS = 20.0
 # Emission intervals that a call costs.
 CALL_COST = 1.0
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True)
 class SharedCall:
-    """A call that further events may join in the turn in which it was made."""
+    """A call that further events may join in the tick in which it was made."""
 
     call: Call
     made_at: float
@@ -241,16 +241,16 @@
         self.demand_at = now
 
     def offer_shared_call(self, call: Call, now: float, places: int) -> None:
-        """Let so many further events join this call in this turn."""
+        """Let so many further events join this call in this tick."""
         self.shared_call = SharedCall(call, now, places)
 
     def has_joinable_call(self, now: float) -> bool:
-        """Whether a call of this turn takes further events."""
+        """Whether a call of this tick takes further events."""
         shared = self.shared_call
         return shared is not None and shared.made_at == now and shared.places_left > 0
 
     def has_joinable_call_to(self, endpoint: Endpoint, now: float) -> bool:
-        """Whether a call of this turn to this endpoint takes further events."""
+        """Whether a call of this tick to this endpoint takes further events."""
         shared = self.shared_call
         return (
             shared is not None
@@ -260,7 +260,7 @@
         )
 
     def join_shared_call(self) -> Call:
-        """Take a place in the call of this turn."""
+        """Take a place in the call of this tick."""
         assert self.shared_call is not None
         self.shared_call.places_left -= 1
         return self.shared_call.call
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -5,7 +5,7 @@
 (`sort_by_urgency`), and makes three calls: `decide` (a `Send`, `Defer`, `Reject` or `Abandon`),
 `record_outcome` (what an outcome means for the event) and `next_check` (when to decide again after a
 `Defer`). `endpoints_to_probe`, `endpoints_to_disconnect`, `should_request_list` and `next_wakeup_at` are
-for once a turn. All moments and spans are in milliseconds on the caller's clock. The design:
+for once a tick. All moments and spans are in milliseconds on the caller's clock. The design:
 docs/design.md.
 """
 
@@ -127,7 +127,7 @@
         return bool(destination.endpoints and destination.endpoints[0].has_separate_route)
 
     def has_joinable_call(self, destination: Destination, now: float) -> bool:
-        """Whether a call of this turn takes others with it, though maybe not each event."""
+        """Whether a call of this tick takes others with it, though maybe not each event."""
         return any(endpoint.rate_limiter.has_joinable_call(now) for endpoint in destination.endpoints)
 
     # Pending events: admission, order and turns.
@@ -139,7 +139,7 @@
         destination_number: int,
         time_left_ms: float,
         tenant: int | None = None,
-        subject: Hashable = 0,
+        ordering_key: Hashable = 0,
     ) -> Event:
         """Hold an event.
 
@@ -149,7 +149,7 @@
             destination_number: The destination as the endpoint list names it.
             time_left_ms: Until its max age.
             tenant: Place of its tenant among the quotas; None is none of them.
-            subject: Its ordering key, where its stream type is ordered; 0 or "" is none.
+            ordering_key: Its ordering key, used where its stream type is ordered; 0 or "" is none.
         """
         stream_type = self.stream_types[stream_type_number]
         destination = self.endpoint_list.destination(destination_number)
@@ -157,7 +157,7 @@
         event = Event(
             stream_type=stream_type,
             destination=destination,
-            ordering_key=subject if stream_type.is_ordered else 0,
+            ordering_key=ordering_key if stream_type.is_ordered else 0,
             priority_weight=self.quotas.weight(stream_type, tenant, now),
             latency_objective_at=expires_at - stream_type.max_age_ms + stream_type.latency_objective_ms,
             expires_at=expires_at,
@@ -312,7 +312,7 @@
         event.waits_for_outcome = False
         return self._give_up(event, now) if self.retry_rules.is_spent(event, now) else Defer()
 
-    # Once a turn.
+    # Once a tick.
 
     def endpoints_to_probe(self, now: float) -> list[Endpoint]:
         """Endpoints to send a health check to now: silent ones with events waiting, at the pace of trials."""
--- a/swiftthread/routing/selection.py
+++ b/swiftthread/routing/selection.py
@@ -27,7 +27,7 @@
 
     endpoint: Endpoint
     joins_call: bool
-    """Whether the event travels in a call that was made in this turn."""
+    """Whether the event travels in a call that was made in this tick."""
 
 
 @dataclass(slots=True)
--- a/tests/routing/test_long_day.py
+++ b/tests/routing/test_long_day.py
@@ -40,7 +40,7 @@
             run.list,
             *discovery.parse_list({"version": number, "full": False, "servers": [row, gone]}),
         )
-        run.at(200.0 * number, lambda ticket=number: run.take(ticket, subject=ticket + 1))
+        run.at(200.0 * number, lambda ticket=number: run.take(ticket, ordering_key=ticket + 1))
         run.play(200.0 * number + 199.0)
         held = PendingEvent(f"evt-{number}", f"key-{number}", "notice", 0, run.now + 5000.0, 0, 0, b"body")
         assert log.matches_known_event(held) is None and log.append_taken(held) and log.append_sent(held, 0)
--- a/tests/routing/test_ordering_keys.py
+++ b/tests/routing/test_ordering_keys.py
@@ -17,8 +17,8 @@
         stream_types=[IDEMPOTENT._replace(is_ordered=True)],
         ordering_rest_ms=2500.0,
     )
-    burst(run, (1, 2, 3), subject=9)
-    burst(run, (4,), 20.0, subject=8).play(9000.0).as_kept("order")
+    burst(run, (1, 2, 3), ordering_key=9)
+    burst(run, (4,), 20.0, ordering_key=8).play(9000.0).as_kept("order")
 
 
 def test_order_waits_for_the_send_of_a_withdrawn_event():
@@ -27,6 +27,6 @@
         lambda t, s, n: (800.0, SendOutcome.ACKED),
         stream_types=[IDEMPOTENT._replace(is_ordered=True)],
     )
-    burst(run, (1, 2), subject=9)
+    burst(run, (1, 2), ordering_key=9)
     run.at(100.0, run.withdraw, 1)
     run.play(3000.0).as_kept("order_withdrawn")
--- a/tests/service/test_pending_queues.py
+++ b/tests/service/test_pending_queues.py
@@ -77,7 +77,7 @@
     counted = CountingRouter(router)
     queues, now, moved, out = PendingQueues(counted), 0.0, 0, []
     for number in range(held):
-        queues.add(router.add_event(0.0, number % 3, number % destinations, 10**6, subject=0), 0.0)
+        queues.add(router.add_event(0.0, number % 3, number % destinations, 10**6, ordering_key=0), 0.0)
     while now < 1000.0 * seconds:
         now += 5.0
         while out and out[0][0] <= now:
@@ -130,7 +130,7 @@
     router = make_router(rate=1.0, max_calls_in_flight=1)
     queues, ended, left = PendingQueues(router), {}, {}
     for number in range(40):
-        event = router.add_event(0.0, number % 4, 0, 500.0 + 10.0 * number, subject=number % 3 + 1)
+        event = router.add_event(0.0, number % 4, 0, 500.0 + 10.0 * number, ordering_key=number % 3 + 1)
         left[event] = event.expires_at
         queues.add(event, 0.0)
     for now in range(0, 1000, 5):
@@ -147,7 +147,7 @@
 def test_an_ordering_key_goes_one_at_a_time_in_order():
     router = make_router(rate=0.0, max_calls_in_flight=10)
     queues, lines = PendingQueues(router), []
-    events = [router.add_event(0.0, 3, 0, 7000.0, subject=7) for _ in range(5)]
+    events = [router.add_event(0.0, 3, 0, 7000.0, ordering_key=7) for _ in range(5)]
     for event in reversed(events):
         queues.add(event, 0.0)
     for now in range(0, 200, 5):
@@ -257,7 +257,7 @@
             stream_type_number,
             self.random.randrange(4),
             self.random.uniform(800.0, STREAMS[stream_type_number].max_age_ms),
-            subject=self.random.randrange(1, 9),
+            ordering_key=self.random.randrange(1, 9),
         )
         event.handle = next(self.next_ticket)
         self._add(event, now)
--- a/tests/support/simulated_node.py
+++ b/tests/support/simulated_node.py
@@ -52,11 +52,11 @@
         """Apply an endpoint list, of rows (id, destination, zone, kind, listed rate, ready)."""
         self.session.apply_endpoint_list(endpoints, whole, self.now)
 
-    def take(self, ticket, destination=0, stream=0, left=None, subject=0):
+    def take(self, ticket, destination=0, stream=0, left=None, ordering_key=0):
         """Submit an event."""
         router = self.session.router
         event = router.add_event(
-            self.now, stream, destination, left or router.stream_types[stream].max_age_ms, 0, subject
+            self.now, stream, destination, left or router.stream_types[stream].max_age_ms, 0, ordering_key
         )
         self.session.hold(event, ticket)
 
