--- a/swiftthread/client/discovery_client.py
+++ b/swiftthread/client/discovery_client.py
@@ -10,14 +10,13 @@
 
 from swiftthread.client.endpoint_list import EndpointList, EndpointListUpdate, MalformedEndpointList
 from swiftthread.client.http_exchange import UNREADABLE, HttpRequest, client_parser, encode_request
-from swiftthread.client.json_stream import MAX_OBJECT_BYTES, BodyLineReader, JsonAssembler
+from swiftthread.client.json_stream import BodyLineReader, JsonAssembler
 from swiftthread.network.address import Address
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection import Connection, ConnectionClosed, connect
 from swiftthread.routing.messages import EndpointEntry
 
 MAX_UNREADABLE_IN_A_ROW = 2  # lists with an unreadable entry after which it is tolerated
-MOST_LIST = MAX_OBJECT_BYTES  # the name that tests of other packages import
 
 UpdateCallback = Callable[[list[EndpointEntry], bool], Awaitable[None]]
 """Takes the fields of an `EndpointListUpdate`."""
--- a/swiftthread/client/endpoint_client.py
+++ b/swiftthread/client/endpoint_client.py
@@ -120,7 +120,7 @@
         except ConnectionClosed:
             outcome = SendOutcome.UNREACHABLE
         except Exception:  # guards the node: a fault in a health check is one without a response
-            logger.exception("endpoint {}, address {}: a probe failed", *key)
+            logger.exception("endpoint {}, address {}: a health check failed", *key)
         finally:
             self.connections.release(key, connection, response)
         # At another address than now it was another endpoint's response.
--- a/swiftthread/client/result_notifier.py
+++ b/swiftthread/client/result_notifier.py
@@ -105,7 +105,7 @@
         except ConnectionClosed:
             pass
         except Exception:  # guards the node: they are posted again, on another connection
-            logger.exception("discovery {}:{}: notices failed", *address)
+            logger.exception("discovery {}:{}: notifications failed", *address)
             response = HttpResponse()
         if self.connection is not None and not response.allows_reuse(self.connection):
             self._close()
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -181,7 +181,7 @@
             try:
                 self.compact()
             except LogFileError as error:  # the file stays as it is, and the next start reads the same
-                logger.error("the log cannot be written anew: {} ({})", error.strerror, self.path)
+                logger.error("the log cannot be compacted: {} ({})", error.strerror, self.path)
         return replay
 
     def _append(self, data: bytes) -> int:
--- a/tests/client/test_discovery_watch.py
+++ b/tests/client/test_discovery_watch.py
@@ -5,7 +5,7 @@
 
 import anyio
 from support.fake_servers import FakeDiscovery, FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 from support.simulated_node import SimulatedNode
 
 from swiftthread.client.discovery_client import MAX_UNREADABLE_IN_A_ROW, DiscoveryClient
@@ -16,26 +16,26 @@
 def test_a_change_with_an_unreadable_entry_has_the_complete_list_asked_for(tmp_path):
     old, new = FakeEndpoint(), FakeEndpoint(ident="s-2", cell=2)
     with NodeProcess(tmp_path, old) as node:
-        until(lambda: node.discovery.watches)
+        wait_until(lambda: node.discovery.watches)
         whole = {"version": 2, "full": True, "servers": [old.entry(), new.entry()]}
-        node.discovery.tell(new.entry() | {"addr": "nowhere"})
+        node.discovery.send_change(new.entry() | {"addr": "nowhere"})
         node.discovery.page = whole
-        until(lambda: len(node.discovery.targets) == 2)
+        wait_until(lambda: len(node.discovery.targets) == 2)
         assert node.discovery.targets[1].endswith("from=0")
-        until(lambda: node.hand_in(destination=2) == 202)
-        until(lambda: new.calls)
+        wait_until(lambda: node.submit(destination=2) == 202)
+        wait_until(lambda: new.calls)
 
 
 def test_a_list_that_stays_unreadable_in_part_is_tolerated(tmp_path):
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint, known=False) as node:
         node.discovery.page = {"version": 1, "full": True, "servers": [endpoint.entry(), {"id": "s-9"}]}
-        node.discovery.lose_watches()
-        until(lambda: len(node.discovery.watches) >= MAX_UNREADABLE_IN_A_ROW + 1)
+        node.discovery.drop_watches()
+        wait_until(lambda: len(node.discovery.watches) >= MAX_UNREADABLE_IN_A_ROW + 1)
         asked = len(node.discovery.targets)
-        node.discovery.tell(endpoint.entry())
-        assert node.hand_in() == 202
-        until(lambda: endpoint.calls)
+        node.discovery.send_change(endpoint.entry())
+        assert node.submit() == 202
+        wait_until(lambda: endpoint.calls)
         assert len(node.discovery.targets) == asked
 
 
--- a/tests/configuration/test_unclear_settings.py
+++ b/tests/configuration/test_unclear_settings.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, lane, until
+from support.node_process import NodeProcess, stream_profile, wait_until
 from support.simulated_node import SimulatedNode
 from support.stream_types import IDEMPOTENT
 
@@ -33,8 +33,8 @@
         separate_routes_by_kind=[True],
         carriage_cost_by_zone=[0.1, 0.2],
     )
-    run.at(1.0, run.take, 1)
-    assert any("acked 1 at a" in line for line in run.play(500.0).lines)
+    run.schedule(1.0, run.submit, 1)
+    assert any("acked 1 at a" in line for line in run.run_until(500.0).lines)
 
 
 @pytest.mark.parametrize(
@@ -54,12 +54,15 @@
 def test_what_is_unclear_of_a_stream_type_is_read_the_cautious_way_and_named(tmp_path, profile, said):
     first, second = FakeEndpoint("reset", "reset"), FakeEndpoint("reset", "reset", ident="s-2")
     with NodeProcess(
-        tmp_path, first, second, Profiles=[lane("posting", "dedup", Window=3.0, Group="zone") | profile]
+        tmp_path,
+        first,
+        second,
+        Profiles=[stream_profile("posting", "dedup", Window=3.0, Group="zone") | profile],
     ) as node:
-        assert node.hand_in("posting", left="2000m", **{"Idempotency-Key": "k"}) == 202
-        until(lambda: node.notices() == {"evt-1": "given_up"})
+        assert node.submit("posting", left="2000m", **{"Idempotency-Key": "k"}) == 202
+        wait_until(lambda: node.final_outcomes() == {"evt-1": "given_up"})
         assert not (first.calls and second.calls)
-        assert "the settings' Profiles[0] (posting): " in (text := node.said()) and said in text
+        assert "the settings' Profiles[0] (posting): " in (text := node.stop_and_read_log()) and said in text
 
 
 @pytest.mark.parametrize(
@@ -67,7 +70,9 @@
 )
 def test_a_length_of_time_that_is_none_ends_the_start_in_one_line(tmp_path, profile):
     program = NodeProcess(
-        tmp_path, FakeEndpoint(), Profiles=[lane("a", "retryable"), lane("b", "dedup", Window=3.0) | profile]
+        tmp_path,
+        FakeEndpoint(),
+        Profiles=[stream_profile("a", "retryable"), stream_profile("b", "dedup", Window=3.0) | profile],
     )
     with pytest.raises(AssertionError) as told:
         program.start()
--- a/tests/node/test_effects.py
+++ b/tests/node/test_effects.py
@@ -10,7 +10,7 @@
 import pytest
 from support.effect_rules import SLACK_S, Rules, Seen, broken
 from support.fake_servers import FakeHttpServer, GatedEndpoint
-from support.node_process import NodeProcess, lane, until
+from support.node_process import NodeProcess, stream_profile, wait_until
 
 ONCE, ZONE, ALL, FREELY = Rules(True), Rules(True, "zone", 2.0), Rules(True, "all", 2.0), Rules(False)
 
@@ -76,9 +76,9 @@
 
     def toggle(self):
         if self.gate.is_set():
-            self.shut()
+            self.stop_accepting()
         else:
-            self.hear()
+            self.resume_accepting()
 
     def _answer(self, method, target, headers, body):
         arrived_at = self.came.at
@@ -94,9 +94,9 @@
             ]
             pause = self.random.choice([0.0, 0.05, 0.4])
         if answer == self.LATE:
-            self.shut()
+            self.stop_accepting()
             time.sleep(1.15)
-            threading.Timer(0.3, self.hear).start()
+            threading.Timer(0.3, self.resume_accepting).start()
             return "reset"
         time.sleep(pause)
         if len(events) > 1 and answer == 200:
@@ -108,10 +108,10 @@
     """A node, random endpoints in two zones, and clients whose events have every kind of contract."""
 
     STREAM_TYPES = {
-        "once": (ONCE, lane("once", "fragile", Deadline=6.0)),
-        "zonal": (ZONE, lane("zonal", "dedup", Group="zone", Window=2.0, Deadline=6.0)),
-        "wide": (ALL, lane("wide", "dedup", Group="all", Window=2.0, Deadline=6.0)),
-        "notice": (FREELY, lane("notice", "retryable", Deadline=6.0)),
+        "once": (ONCE, stream_profile("once", "fragile", Deadline=6.0)),
+        "zonal": (ZONE, stream_profile("zonal", "dedup", Group="zone", Window=2.0, Deadline=6.0)),
+        "wide": (ALL, stream_profile("wide", "dedup", Group="all", Window=2.0, Deadline=6.0)),
+        "notice": (FREELY, stream_profile("notice", "retryable", Deadline=6.0)),
     }
     DESTINATIONS = 4
 
@@ -146,11 +146,11 @@
     def _receive_notification(self, method, target, headers, body):
         discovery = self.node.discovery
         arrived_at = discovery.came.at
-        before = len(discovery.notices)
+        before = len(discovery.notifications)
         answer = self._answer_of_discovery(method, target, headers, body)
         with self.lock:
             self.notifications += [
-                (arrived_at, row["message"], row["outcome"]) for row in discovery.notices[before:]
+                (arrived_at, row["message"], row["outcome"]) for row in discovery.notifications[before:]
             ]
         return answer
 
@@ -158,7 +158,7 @@
         stream_type = self.random.choice(list(self.STREAM_TYPES))
         ident = f"evt-{number}"
         self.rules[ident] = self.STREAM_TYPES[stream_type][0]
-        self.node.hand_in(
+        self.node.submit(
             stream_type,
             ident=ident,
             left="5500m",
@@ -179,13 +179,13 @@
     address = server.listener.getsockname()
     server.gate.clear()
     with socket.create_connection(address):  # the one that is accepted in any case
-        until(lambda: server.accepted == 1)
+        wait_until(lambda: server.accepted == 1)
         with socket.create_connection(address) as sender:
             sent_at = time.time()
             sender.sendall(b"GET /ping HTTP/1.1\r\nHost: endpoint\r\n\r\n")
             time.sleep(0.5)
         server.gate.set()
-        until(lambda: arrivals)
+        wait_until(lambda: arrivals)
     assert abs(arrivals[0] - sent_at) < SLACK_S
 
 
@@ -210,8 +210,8 @@
             scenario.submit(number)
             time.sleep(0.02)
         for endpoint in scenario.endpoints:
-            endpoint.hear()
-        until(lambda: not node.held(), 12.0)
+            endpoint.resume_accepting()
+        wait_until(lambda: not node.pending_event_ids(), 12.0)
     calls = scenario.calls
     repeated = len(calls) - len({call.ident for call in calls})
     assert not broken(calls, scenario.rules, scenario.notifications)
--- a/tests/node/test_node_batches.py
+++ b/tests/node/test_node_batches.py
@@ -3,7 +3,7 @@
 import json
 
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 
 REJECTED = (429, [("Retry-After", "0.6")], b"")
 
@@ -27,11 +27,11 @@
     states = ["done", "failed", "busy", "void", "used_up"]
     endpoint = FakeEndpoint(REJECTED, batch_answer(states), batch_answer(["done"] * 5))
     with NodeProcess(tmp_path, endpoint, Domain={"KindBatch": [5]}) as node:
-        assert node.hand_in() == 202
-        until(lambda: endpoint.calls)
+        assert node.submit() == 202
+        wait_until(lambda: endpoint.calls)
         for _ in range(4):
-            assert node.hand_in("once", b"\xfe") == 202
-        until(lambda: all(node.has_logged_end(f"evt-{i}") for i in range(1, 6)))
+            assert node.submit("once", b"\xfe") == 202
+        wait_until(lambda: all(node.has_logged_end(f"evt-{i}") for i in range(1, 6)))
         assert endpoint.calls[1][1] == "/receive-many"
         sent = [row["id"] for row in json.loads(endpoint.calls[1][3])]
         again = [
@@ -43,14 +43,14 @@
         ]
         unsafe = sent[1] if sent[1] != "evt-1" else None
         assert set(again) - {"evt-1"} == {sent[2], sent[4]} - {"evt-1"}
-        assert node.notices() == ({unsafe: "given_up"} if unsafe else {})
+        assert node.final_outcomes() == ({unsafe: "given_up"} if unsafe else {})
 
 
 def test_after_an_unreadable_answer_each_event_of_a_batch_may_have_run(tmp_path):
     endpoint = FakeEndpoint(REJECTED, batch_answer(["done"] * 5, cut=3), 200)
     with NodeProcess(tmp_path, endpoint, Domain={"KindBatch": [5]}) as node:
-        node.hand_in("once")
-        until(lambda: endpoint.calls)
-        node.hand_in("once")
-        until(lambda: node.notices() == {"evt-1": "given_up", "evt-2": "given_up"})
+        node.submit("once")
+        wait_until(lambda: endpoint.calls)
+        node.submit("once")
+        wait_until(lambda: node.final_outcomes() == {"evt-1": "given_up", "evt-2": "given_up"})
         assert len(endpoint.calls) == 2
--- a/tests/node/test_node_recovery.py
+++ b/tests/node/test_node_recovery.py
@@ -5,7 +5,7 @@
 import time
 
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 
 from swiftthread.storage.records import record
 
@@ -13,23 +13,27 @@
 def test_sigkill_loses_nothing_and_repeats_no_attempt_that_may_have_run(tmp_path):
     endpoint = FakeEndpoint(None)
     with NodeProcess(tmp_path, endpoint, Domain={"CallsOut": 2}) as node:
-        assert node.hand_in("once") == 202
-        until(lambda: endpoint.calls)
+        assert node.submit("once") == 202
+        wait_until(lambda: endpoint.calls)
         for stream in ("notice", "posting", "once"):
-            assert node.hand_in(stream) == 202
+            assert node.submit(stream) == 202
         time.sleep(0.1)
-        out = set(endpoint.idents())
+        out = set(endpoint.event_ids())
         assert node.stop(signal.SIGKILL) == -9
         with open(node.log_path(), "ab") as torn:
             torn.write(record(b"O", b'["evt-2", half a record]')[:-9])
         endpoint.script[:], endpoint.calls[:] = [200], []
         node.discovery.refusing = 3
         node.start()
-        assert node.hand_in("once") == 202
-        until(lambda: set(endpoint.idents()) >= {"evt-2", "evt-3", "evt-5"} and "evt-1" in node.notices())
-        assert node.notices()["evt-1"] == "given_up" and "evt-1" not in endpoint.idents()
-        assert ("evt-4" in endpoint.idents()) == ("evt-4" not in out)
-        assert len(endpoint.idents()) == len(set(endpoint.idents()))
+        assert node.submit("once") == 202
+        wait_until(
+            lambda: (
+                set(endpoint.event_ids()) >= {"evt-2", "evt-3", "evt-5"} and "evt-1" in node.final_outcomes()
+            )
+        )
+        assert node.final_outcomes()["evt-1"] == "given_up" and "evt-1" not in endpoint.event_ids()
+        assert ("evt-4" in endpoint.event_ids()) == ("evt-4" not in out)
+        assert len(endpoint.event_ids()) == len(set(endpoint.event_ids()))
         assert node.stop(signal.SIGKILL) == -9 and b"half a record" not in node.log_path().read_bytes()
 
 
@@ -54,14 +58,16 @@
                 node.start()
             for _ in range(15):
                 ident, stream = f"evt-{len(taken)}", chance.choice(["notice", "posting", "once"])
-                assert node.hand_in(stream, ident=ident, left="5000m", **{"Idempotency-Key": ident}) == 202
+                assert node.submit(stream, ident=ident, left="5000m", **{"Idempotency-Key": ident}) == 202
                 taken[ident] = stream
                 time.sleep(0.02)
-        until(
-            lambda: not set(taken) - set(node.notices()) - {ident for ident, said in calls if said == 200},
+        wait_until(
+            lambda: (
+                not set(taken) - set(node.final_outcomes()) - {ident for ident, said in calls if said == 200}
+            ),
             10.0,
         )
-        until(
+        wait_until(
             lambda: all(
                 node.has_logged_end(ident) or node.log_path().read_bytes().count(ident.encode()) == 0
                 for ident in taken
@@ -70,17 +76,17 @@
     for ident in [ident for ident, stream in taken.items() if stream == "once"]:
         said = [said for called, said in calls if called == ident]
         assert all(earlier == 503 for earlier in said[:-1]), said
-        assert node.notices().get(ident) != "handed_back" or set(said) <= {503}
+        assert node.final_outcomes().get(ident) != "handed_back" or set(said) <= {503}
 
 
 def test_a_decision_outlasts_the_process_until_its_notification_is_answered(tmp_path):
     endpoint = FakeEndpoint(500, 200)
     with NodeProcess(tmp_path, endpoint) as node:
         node.discovery.refusing = 10**6
-        assert node.hand_in("once") == 202
-        until(lambda: b"given_up" in node.log_path().read_bytes())
+        assert node.submit("once") == 202
+        wait_until(lambda: b"given_up" in node.log_path().read_bytes())
         node.stop(signal.SIGKILL)
         node.discovery.refusing = 0
         node.start()
-        until(lambda: node.notices() == {"evt-1": "given_up"})
+        wait_until(lambda: node.final_outcomes() == {"evt-1": "given_up"})
         assert len(endpoint.calls) == 1
--- a/tests/node/test_node_retry_after.py
+++ b/tests/node/test_node_retry_after.py
@@ -5,7 +5,7 @@
 import time
 
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 
 from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.events import Destination
@@ -16,19 +16,19 @@
 def test_retry_after_is_kept_though_its_answer_breaks_off(tmp_path):
     endpoint = FakeEndpoint(b"HTTP/1.1 429 Full\r\nRetry-After: 0.7\r\nContent-Length: 9\r\n\r\n", 200)
     with NodeProcess(tmp_path, endpoint) as node:
-        assert node.hand_in() == 202
-        until(lambda: len(endpoint.calls) == 2)
+        assert node.submit() == 202
+        wait_until(lambda: len(endpoint.calls) == 2)
         assert endpoint.calls[1][0] - endpoint.calls[0][0] > 0.69
 
 
 def test_retry_after_holds_back_all_events_of_the_destination(tmp_path):
     first, second = FakeEndpoint(REJECTED, 200), FakeEndpoint(REJECTED, 200, ident="s-2")
     with NodeProcess(tmp_path, first, second) as node:
-        node.hand_in()
-        until(lambda: first.calls or second.calls)
+        node.submit()
+        wait_until(lambda: first.calls or second.calls)
         for _ in range(4):
-            assert node.hand_in("posting") == 202
-        until(lambda: len(first.calls) + len(second.calls) >= 6)
+            assert node.submit("posting") == 202
+        wait_until(lambda: len(first.calls) + len(second.calls) >= 6)
         times = sorted(call[0] for call in first.calls + second.calls)
         waits = [at for at in times[1:] if at - times[0] < 0.6]
         assert not waits
@@ -57,8 +57,8 @@
         filler.setblocking(False)
         filler.connect_ex(slow.listener.getsockname())
     with NodeProcess(tmp_path, answers, slow, Permissions={"ConnectTimeout": 4.0, "Probes": False}) as node:
-        assert [node.hand_in(left="5000m"), node.hand_in(left="5000m")] == [202, 202]
-        until(
+        assert [node.submit(left="5000m"), node.submit(left="5000m")] == [202, 202]
+        wait_until(
             lambda: (
                 b'O["evt-1"' in node.log_path().read_bytes() and b'O["evt-2"' in node.log_path().read_bytes()
             )
@@ -66,7 +66,7 @@
         told_at = time.monotonic()
         answer_now.set()
         gate.set()
-        until(lambda: len(answers.calls) + len(slow.calls) == 3)
+        wait_until(lambda: len(answers.calls) + len(slow.calls) == 3)
         later = [at for at, *_ in answers.calls[1:] + slow.calls]
         assert all(at >= told_at + 1.8 for at in later)
     for filler in fillers:
--- a/tests/node/test_node_shutdown_and_restart.py
+++ b/tests/node/test_node_shutdown_and_restart.py
@@ -11,7 +11,7 @@
 
 import pytest
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 
 
 @pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGINT])
@@ -33,7 +33,7 @@
             return False
         return True
 
-    until(pipe_has_reader)
+    wait_until(pipe_has_reader)
     process.send_signal(signal_number)
     os.write(writers[0], node.conf.read_bytes())
     os.close(writers[0])
@@ -46,46 +46,46 @@
 
 def test_signals_again_and_again_until_the_exit_end_it_no_other_way(tmp_path):
     with NodeProcess(tmp_path, FakeEndpoint()) as node:
-        assert node.hand_in() == 202
+        assert node.submit() == 202
         began_at = time.monotonic()
         while node.process.poll() is None:
             assert time.monotonic() - began_at < 10.0
             for signal_number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT):
                 node.process.send_signal(signal_number)
             select.select([], [], [], 0.002)  # a storm would keep it from its work
-        assert node.process.returncode == 0 and not node.held()
+        assert node.process.returncode == 0 and not node.pending_event_ids()
 
 
 def test_a_decision_whose_notification_is_not_answered_outlasts_a_shutdown(tmp_path):
     with NodeProcess(tmp_path, FakeEndpoint(500)) as node:
         node.discovery.refusing = 10**6
-        assert node.hand_in("once") == 202
-        until(lambda: b"given_up" in node.log_path().read_bytes())
-        assert node.stop() == 0 and node.held() == {"evt-1"}
+        assert node.submit("once") == 202
+        wait_until(lambda: b"given_up" in node.log_path().read_bytes())
+        assert node.stop() == 0 and node.pending_event_ids() == {"evt-1"}
         node.discovery.refusing = 0
         node.start()
-        until(lambda: node.notices() == {"evt-1": "given_up"} and not node.held())
+        wait_until(lambda: node.final_outcomes() == {"evt-1": "given_up"} and not node.pending_event_ids())
 
 
 def test_pending_events_without_an_attempt_are_sent_after_a_restart_though_no_list_is_known_yet(tmp_path):
     """The operators' term: giving such events up without a call fails the day."""
     endpoint = FakeEndpoint(None)
     with NodeProcess(tmp_path, endpoint, Domain={"CallsOut": 1}, Permissions={"MaxOpen": 24}) as node:
-        assert [node.hand_in("notice", left="5000m") for _ in range(20)] == [202] * 20
-        until(lambda: endpoint.calls)
+        assert [node.submit("notice", left="5000m") for _ in range(20)] == [202] * 20
+        wait_until(lambda: endpoint.calls)
         node.stop(signal.SIGKILL)
         del node.parts["known"]
         node.conf.write_text(json.dumps(node.parts))
         node.discovery.gate.clear()
         endpoint.script[:] = [200]
-        attempted = set(endpoint.idents())
+        attempted = set(endpoint.event_ids())
         node.start()
-        assert node.notices() == {} and len(node.held()) == 20
+        assert node.final_outcomes() == {} and len(node.pending_event_ids()) == 20
         node.discovery.gate.set()
-        until(lambda: not node.held())
+        wait_until(lambda: not node.pending_event_ids())
         assert (
-            node.notices() == {}
-            and set(endpoint.idents()) - attempted >= {f"evt-{n}" for n in range(1, 21)} - attempted
+            node.final_outcomes() == {}
+            and set(endpoint.event_ids()) - attempted >= {f"evt-{n}" for n in range(1, 21)} - attempted
         )
 
 
@@ -101,5 +101,5 @@
 
         node.discovery.answer = answer_and_note
         expires_at = time.time() + 1.2
-        assert node.hand_in("once", left="1200m") == 202
+        assert node.submit("once", left="1200m") == 202
         assert was_notified.wait(5.0) and time.time() < expires_at + 0.001
--- a/tests/node/test_node_submission.py
+++ b/tests/node/test_node_submission.py
@@ -2,7 +2,7 @@
 
 import pytest
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, exchange, until
+from support.node_process import NodeProcess, exchange, wait_until
 
 
 @pytest.fixture(scope="module")
@@ -27,7 +27,7 @@
 )
 def test_malformed_requests_get_a_plain_answer(node, data, status):
     assert int(node.raw(data).split()[1]) == status
-    assert node.hand_in() == 202
+    assert node.submit() == 202
 
 
 @pytest.mark.parametrize(
@@ -48,58 +48,62 @@
     ],
 )
 def test_headers_that_cannot_be_used_are_rejected_for_good(node, change, status):
-    assert node.hand_in(body=b"of no use", **change) == status
+    assert node.submit(body=b"of no use", **change) == status
     assert b"of no use" not in node.log_path().read_bytes()
 
 
 def test_half_a_request_and_a_client_that_is_gone_leave_no_trace(node):
     for part in (1, 40, -1):
         with node.open() as conn:
-            conn.sendall(node.bytes_of(body=b"half of it")[:part])
+            conn.sendall(node.submission_request(body=b"half of it")[:part])
     with node.open() as conn:
-        assert exchange(conn, node.bytes_of(body=b"half of it")[:-1]).startswith(b"HTTP/1.1 408")
-    assert node.hand_in() == 202 and b"half of" not in node.log_path().read_bytes()
+        assert exchange(conn, node.submission_request(body=b"half of it")[:-1]).startswith(b"HTTP/1.1 408")
+    assert node.submit() == 202 and b"half of" not in node.log_path().read_bytes()
 
 
 def test_an_unknown_destination_is_rejected_until_the_list_names_it(node):
-    assert b"\r\nRetry-After: 0.500\r\n" in node.raw(node.bytes_of(destination=99, body=b"of no use"))
-    assert node.hand_in(destination=99) == 503 and b"of no use" not in node.log_path().read_bytes()
+    assert b"\r\nRetry-After: 0.500\r\n" in node.raw(
+        node.submission_request(destination=99, body=b"of no use")
+    )
+    assert node.submit(destination=99) == 503 and b"of no use" not in node.log_path().read_bytes()
     late = FakeEndpoint(ident="s-99", cell=99)
-    until(lambda: node.discovery.watches)
-    node.discovery.tell(late.entry())
-    until(lambda: node.hand_in(destination=99) == 202)
-    until(lambda: late.calls)
+    wait_until(lambda: node.discovery.watches)
+    node.discovery.send_change(late.entry())
+    wait_until(lambda: node.submit(destination=99) == 202)
+    wait_until(lambda: late.calls)
 
 
 def test_a_request_inside_the_body_of_another_is_never_accepted(node):
-    inner = node.bytes_of(ident="hidden")
-    head = node.bytes_of(body=b"0\r\n\r\n" + inner, ident="outer", **{"Transfer-Encoding": "chunked"})
-    assert node.raw(head).startswith(b"HTTP/1.1 400") and node.hand_in() == 202
+    inner = node.submission_request(ident="hidden")
+    head = node.submission_request(
+        body=b"0\r\n\r\n" + inner, ident="outer", **{"Transfer-Encoding": "chunked"}
+    )
+    assert node.raw(head).startswith(b"HTTP/1.1 400") and node.submit() == 202
     assert b"hidden" not in node.log_path().read_bytes() and b"outer" not in node.log_path().read_bytes()
 
 
 def test_an_error_reaches_a_client_that_still_sends_sixty_megabytes(node):
     with node.open() as conn:
-        conn.sendall(node.bytes_of(**{"Content-Length": 60_000_000}))
+        conn.sendall(node.submission_request(**{"Content-Length": 60_000_000}))
         for _ in range(60):
             conn.sendall(bytes(1_000_000))
         assert conn.recv(999).startswith(b"HTTP/1.1 413")
-    assert node.hand_in() == 202
+    assert node.submit() == 202
 
 
 def test_a_submission_repeated_when_its_event_has_ended_is_the_same_event(node):
     for _ in range(2):
-        assert node.hand_in("once", ident="crossed") == 202
-        until(lambda: node.has_logged_end("crossed"))
-    assert node.endpoint.idents().count("crossed") == 1
+        assert node.submit("once", ident="crossed") == 202
+        wait_until(lambda: node.has_logged_end("crossed"))
+    assert node.endpoint.event_ids().count("crossed") == 1
 
 
 def test_the_longest_ids_are_accepted_and_delivered(node):
-    assert node.hand_in("posting", bytes(65536), ident="i" * 200, **{"Idempotency-Key": "k" * 200}) == 202
-    until(lambda: node.has_logged_end("i" * 200))
+    assert node.submit("posting", bytes(65536), ident="i" * 200, **{"Idempotency-Key": "k" * 200}) == 202
+    wait_until(lambda: node.has_logged_end("i" * 200))
 
 
 def test_several_requests_on_one_connection(node):
     with node.open() as conn:
         for _ in range(3):
-            assert exchange(conn, node.bytes_of()).startswith(b"HTTP/1.1 202")
+            assert exchange(conn, node.submission_request()).startswith(b"HTTP/1.1 202")
--- a/tests/routing/test_connection_tables.py
+++ b/tests/routing/test_connection_tables.py
@@ -14,7 +14,7 @@
     table = Table(30)
     fleet = Fleet(100, ROUTE, {"a": table}, keepalive_ms=5000.0)
     fleet.load(1, 60.0, 0.0, 20000.0)
-    fleet.play(30000.0)
+    fleet.run_until(30000.0)
     assert len(table.calls) > 1000 and table.share_rejected() < 0.05
     assert len(fleet.lines("decline")) < 10
 
@@ -24,7 +24,7 @@
 
     def paced(outcome):
         run = SimulatedNode(ROUTE, node_count=20)
-        limiter = run.play(0.0).session.router.endpoints["a"].rate_limiter
+        limiter = run.run_until(0.0).session.router.endpoints["a"].rate_limiter
         rate, event = limiter.rate, run.session.router.add_event(0.0, 0, 0, 10000.0)
         for moment in (0.0, 1500.0, 3000.0, 4500.0):
             run.session.router.decide(event, moment)
@@ -32,7 +32,7 @@
         return limiter.rate / rate, run.session.router.endpoints["a"].is_down
 
     assert paced(SendOutcome.CONNECTION_LIMIT) == (1.0, False)
-    run = SimulatedNode([("a", 0, 0, 0, 0.0, True)]).play(0.0)
+    run = SimulatedNode([("a", 0, 0, 0, 0.0, True)]).run_until(0.0)
     event = run.session.router.add_event(0.0, 0, 0, 10000.0)
     run.session.router.decide(event, 0.0)
     run.session.router.record_outcome(event, SendOutcome.CONNECTION_LIMIT, 30.0, 30.0)
@@ -43,7 +43,7 @@
 
 def test_a_connection_that_an_event_waits_for_is_kept_until_none_does():
     """It was closed in the turn in which its call ended, and the next event's slot paid for a new one."""
-    node = SimulatedNode([("a", 0, 0, 0, 1.0, True)], keepalive_ms=5000.0).play(0.0).session.router
+    node = SimulatedNode([("a", 0, 0, 0, 1.0, True)], keepalive_ms=5000.0).run_until(0.0).session.router
     first, second = [node.add_event(0.0, 0, 0, 10000.0) for _ in range(2)]
     for event, moment, closed in ((first, 0.0, []), (second, 1100.0, ["a"])):
         node.decide(event, moment)
@@ -55,10 +55,10 @@
     """Hundreds of nodes kept a connection each after one call, and the endpoint's table stayed full."""
     run = SimulatedNode(ONE, keepalive_ms=5000.0)
     for ticket, moment in enumerate((10.0, 12000.0, 12400.0, 12800.0, 13200.0), 1):
-        run.at(moment, run.take, ticket)
-    run.play(20000.0).as_kept("closes")
+        run.schedule(moment, run.submit, ticket)
+    run.run_until(20000.0).assert_matches_trace("closes")
     for ticket in range(6, 66):
-        run.at(20000.0 + 120.0 * ticket, run.take, ticket)
-    run.play(30000.0)
+        run.schedule(20000.0 + 120.0 * ticket, run.submit, ticket)
+    run.run_until(30000.0)
     closed = [float(line.split()[0]) for line in run.lines if "close idle" in line]
     assert max(closed) < 25000.0  # one that is in use for most of the time is kept
--- a/tests/routing/test_endpoint_changes.py
+++ b/tests/routing/test_endpoint_changes.py
@@ -12,8 +12,8 @@
     first = [
         (endpoint, destination, zone, kind, rate, False) for endpoint, destination, zone, kind, rate, _ in TWO
     ]
-    run.at(300.0, run.list, first)
-    burst(run, (8,), 400.0).play(20000.0).as_kept("drain")
+    run.schedule(300.0, run.apply_endpoint_list, first)
+    burst(run, (8,), 400.0).run_until(20000.0).assert_matches_trace("drain")
 
 
 @pytest.mark.parametrize("whole", [False, True])
@@ -24,10 +24,12 @@
         TWO, lambda ticket, endpoint, now: (3000.0, answer) if now < 200.0 else (50.0, SendOutcome.ACKED)
     )
     burst(run, range(1, 5))
-    run.at(300.0, run.list, [(1, 5, 0, 0, 4.0, True), (2, 0, 1, 0, 4.0, True)][: 1 + whole], whole)
+    run.schedule(
+        300.0, run.apply_endpoint_list, [(1, 5, 0, 0, 4.0, True), (2, 0, 1, 0, 4.0, True)][: 1 + whole], whole
+    )
     burst(run, range(11, 14), 400.0)
     burst(run, range(21, 24), 500.0, destination=5)
-    run.play(30000.0)
+    run.run_until(30000.0)
     goes = [line.split()[2:5:2] for line in run.lines if " send " in line and float(line.split()[0]) > 300.0]
     goes = [(int(ticket), endpoint.strip(",")) for ticket, endpoint in goes]
     assert {endpoint for ticket, endpoint in goes if ticket < 20} == {"2"} and {
@@ -48,7 +50,7 @@
         ),
         (1,),
     )
-    run.at(500.0, run.list, [(1, 0, 0, 0, 4.0, False)])
-    run.at(900.0, run.list, routes)
-    run.play(6000.0).as_kept("wait_outlasts_list")
+    run.schedule(500.0, run.apply_endpoint_list, [(1, 0, 0, 0, 4.0, False)])
+    run.schedule(900.0, run.apply_endpoint_list, routes)
+    run.run_until(6000.0).assert_matches_trace("wait_outlasts_list")
     assert sent(run)[1][0] >= 3060.0
--- a/tests/routing/test_endpoint_selection.py
+++ b/tests/routing/test_endpoint_selection.py
@@ -14,7 +14,7 @@
 def test_a_route_without_a_carriage_cost_is_waited_for_until_that_costs_more():
     routes = [(1, 0, 0, 0, 1.0, True), (2, 0, 1, 0, 1.0, True)]
     run = SimulatedNode(routes, separate_routes_by_kind=[True], carriage_cost_by_zone=[0.05, 0.0])
-    burst(run, range(1, 5)).play(6000.0).as_kept("fees")
+    burst(run, range(1, 5)).run_until(6000.0).assert_matches_trace("fees")
 
 
 def test_a_route_that_is_out_keeps_nobody_from_the_slots_of_another():
@@ -27,7 +27,7 @@
     run = burst(
         SimulatedNode(routes, answers, separate_routes_by_kind=[True], carriage_cost_by_zone=[0.05, 0.0]),
         range(1, 40),
-    ).play(6000.0)
+    ).run_until(6000.0)
     times = [float(line.split()[0]) for line in run.lines if " -> 2," in line]
     assert len(times) > 20 and max(later - at for at, later in pairwise(times)) < 300.0
 
@@ -42,8 +42,8 @@
         TWO, answers, stream_types=[IDEMPOTENT, IDEMPOTENT._replace(latency_objective_ms=4000.0)]
     )
     for ticket in range(1, 17):
-        run.at(600.0 * ticket, run.take, ticket, 0, ticket % 2)
-    run.play(20000.0).as_kept("one_stream_type")
+        run.schedule(600.0 * ticket, run.submit, ticket, 0, ticket % 2)
+    run.run_until(20000.0).assert_matches_trace("one_stream_type")
 
 
 def test_an_overload_is_not_served_oldest_first():
@@ -52,7 +52,7 @@
     run = SimulatedNode(ONE, stream_types=[stream])
     for ticket in range(160):
         burst(run, (ticket,), 10.0 + 125.0 * ticket)
-    run.play(30000.0)
+    run.run_until(30000.0)
     acked = [(float(line.split()[0]), int(line.split()[2])) for line in run.lines if " acked " in line]
     ages = sorted(at - 10.0 - 125.0 * ticket for at, ticket in acked)
     assert len(ages) > 100 and ages[len(ages) // 2] < 2300.0, ages[len(ages) // 2]
@@ -61,12 +61,12 @@
 def test_the_work_for_an_event_does_not_grow_with_the_fleet():
     def calls(size):
         run, seen = (
-            SimulatedNode([(n, n, 0, 0, 4.0, True) for n in range(size)], node_count=size).play(5.0),
+            SimulatedNode([(n, n, 0, 0, 4.0, True) for n in range(size)], node_count=size).run_until(5.0),
             [],
         )
         burst(run, (1, 2))
         sys.setprofile(lambda frame, event, arg: seen.append(event) if event == "call" else None)
-        run.play(3000.0)
+        run.run_until(3000.0)
         sys.setprofile(None)
         return len(seen)
 
--- a/tests/routing/test_long_day.py
+++ b/tests/routing/test_long_day.py
@@ -35,13 +35,13 @@
             "state": "SERVING",
         }
         gone = {"id": f"s-{number - 1}", "addr": row["addr"], "cell": 0, "state": "DELETED"}
-        run.at(
+        run.schedule(
             200.0 * number,
-            run.list,
+            run.apply_endpoint_list,
             *discovery.parse_list({"version": number, "full": False, "servers": [row, gone]}),
         )
-        run.at(200.0 * number, lambda ticket=number: run.take(ticket, ordering_key=ticket + 1))
-        run.play(200.0 * number + 199.0)
+        run.schedule(200.0 * number, lambda ticket=number: run.submit(ticket, ordering_key=ticket + 1))
+        run.run_until(200.0 * number + 199.0)
         held = PendingEvent(f"evt-{number}", f"key-{number}", "notice", 0, run.now + 5000.0, 0, 0, b"body")
         assert log.matches_known_event(held) is None and log.append_taken(held) and log.append_sent(held, 0)
         log.append_ended(held)
--- a/tests/routing/test_ordering_keys.py
+++ b/tests/routing/test_ordering_keys.py
@@ -18,7 +18,7 @@
         ordering_rest_ms=2500.0,
     )
     burst(run, (1, 2, 3), ordering_key=9)
-    burst(run, (4,), 20.0, ordering_key=8).play(9000.0).as_kept("order")
+    burst(run, (4,), 20.0, ordering_key=8).run_until(9000.0).assert_matches_trace("order")
 
 
 def test_order_waits_for_the_send_of_a_withdrawn_event():
@@ -28,5 +28,5 @@
         stream_types=[IDEMPOTENT._replace(is_ordered=True)],
     )
     burst(run, (1, 2), ordering_key=9)
-    run.at(100.0, run.withdraw, 1)
-    run.play(3000.0).as_kept("order_withdrawn")
+    run.schedule(100.0, run.withdraw, 1)
+    run.run_until(3000.0).assert_matches_trace("order_withdrawn")
--- a/tests/routing/test_outages.py
+++ b/tests/routing/test_outages.py
@@ -19,9 +19,9 @@
         max_calls_in_flight=8,
     )
     for moment in range(0, 3000, 50):
-        run.at(moment + 10.0, run.take, 1000 + moment, 0)
-        run.at(moment + 10.0, run.take, 5000 + moment, 1)
-    run.play(2500.0)
+        run.schedule(moment + 10.0, run.submit, 1000 + moment, 0)
+        run.schedule(moment + 10.0, run.submit, 5000 + moment, 1)
+    run.run_until(2500.0)
     assert max(moment for moment, ticket in sent(run) if ticket < 5000) < 1500.0
     assert len([1 for moment, ticket in sent(run) if ticket >= 5000 and moment > 1500.0]) >= 15
 
@@ -35,8 +35,8 @@
 
     run = SimulatedNode([(1, 0, 0, 0, 4.0, True)], answers, node_count=nodes)
     for moment in range(0, 60000, 500):
-        run.at(moment + 10.0, run.take, moment + 1)
-    run.play(40000.0)
+        run.schedule(moment + 10.0, run.submit, moment + 1)
+    run.run_until(40000.0)
     trials = [moment for moment, _ in sent(run) if 2000.0 < moment < 20000.0]
     budget = 2.0 * 0.2 * 4.0 * 18.0  # multiple x cold share x rate x seconds
     assert 1 <= len(trials) <= budget / nodes * (1 if nodes == 2 else 4)
@@ -57,8 +57,8 @@
 
     run = SimulatedNode(ONE, answers)
     for ticket in range(1, 40):
-        run.at(400.0 * ticket, run.take, ticket)
-    run.play(20000.0).as_kept("cold_time_out")
+        run.schedule(400.0 * ticket, run.submit, ticket)
+    run.run_until(20000.0).assert_matches_trace("cold_time_out")
 
 
 def test_resets_here_and_there_are_no_outage():
@@ -73,8 +73,8 @@
 
     run = SimulatedNode(ONE, answers)
     for ticket in range(1, 24):
-        run.at(400.0 * ticket, run.take, ticket)
-    run.play(20000.0).as_kept("lone_resets")
+        run.schedule(400.0 * ticket, run.submit, ticket)
+    run.run_until(20000.0).assert_matches_trace("lone_resets")
 
 
 def test_a_destination_that_was_shut_is_cold_at_all_its_endpoints():
@@ -87,8 +87,8 @@
         [(1, 0, 0, 0, 20.0, True), (2, 0, 0, 0, 20.0, True)], answers, node_count=40, batch_size_by_kind=[5]
     )
     for ticket in range(1, 30):
-        run.at(200.0 * ticket, run.take, ticket)
-    run.play(12000.0).as_kept("shut_everywhere")
+        run.schedule(200.0 * ticket, run.submit, ticket)
+    run.run_until(12000.0).assert_matches_trace("shut_everywhere")
     assert len({moment for moment, _ in sent(run) if 6000.0 < moment < 8000.0}) <= 2
 
 
@@ -104,8 +104,8 @@
 
     run = SimulatedNode(ONE, answers, keepalive_ms=5000.0, connect_timeout_ms=1000.0)
     for ticket, moment in enumerate((10.0, 2000.0, 4000.0, 4200.0, 9000.0), 1):
-        run.at(moment, run.take, ticket)
-    run.play(20000.0).as_kept("table")
+        run.schedule(moment, run.submit, ticket)
+    run.run_until(20000.0).assert_matches_trace("table")
 
 
 def test_two_rejections_over_more_than_two_seconds_mean_shut():
@@ -124,11 +124,11 @@
         run = SimulatedNode(ONE, answers, node_count=198)
         run.session.router.random_uniform = random.Random(seed).uniform
         for ticket, moment in enumerate((1000.0, 1100.0, 9000.0), 1):
-            run.at(moment, run.take, ticket)
-        assert run.play(4000.0).session.router.endpoints[1].is_down
-        return run.play(14000.0)
+            run.schedule(moment, run.submit, ticket)
+        assert run.run_until(4000.0).session.router.endpoints[1].is_down
+        return run.run_until(14000.0)
 
-    met(7).as_kept("shut_by_refusals")
+    met(7).assert_matches_trace("shut_by_refusals")
     # As long as it is shut: at a pause of 37 s, the first at any time in it, some 3 of 20 make a trial.
     trials = [moment for seed in range(20) for moment, _ in sent(met(seed)) if 4000.0 < moment < 10000.0]
     assert len(trials) <= 6
--- a/tests/routing/test_overload.py
+++ b/tests/routing/test_overload.py
@@ -17,7 +17,7 @@
         fleet = Fleet(nodes, [(ROUTE, 0, 0, 0, limit, True)], {ROUTE: limited})
         fleet.load(seed, 0.6 * limit, 0.0, LOAD_MS)
         fleet.load(seed + 100, 1.3 * limit, LOAD_MS, LOAD_MS + OVER_MS)
-        fleet.play(END_MS)
+        fleet.run_until(END_MS)
         served = sum(LOAD_MS <= moment < LOAD_MS + OVER_MS for moment in limited.served)
         shares.append(served / (limit * OVER_MS / 1000.0))
     assert sum(shares) / len(shares) > least, shares
@@ -25,7 +25,10 @@
 
 def test_a_node_given_a_retry_after_keeps_to_its_share_of_a_listed_limit_and_finds_back():
     node = (
-        Fleet(20, [(ROUTE, 0, 0, 0, 40.0, True)], {ROUTE: Limited(40.0)}).play(0.0).members[0].session.router
+        Fleet(20, [(ROUTE, 0, 0, 0, 40.0, True)], {ROUTE: Limited(40.0)})
+        .run_until(0.0)
+        .members[0]
+        .session.router
     )
     limiter = node.endpoints[ROUTE].rate_limiter
     first = limiter.rate
--- a/tests/routing/test_pacing.py
+++ b/tests/routing/test_pacing.py
@@ -7,7 +7,7 @@
 
 
 def test_sends_keep_the_emission_interval():
-    burst(SimulatedNode(ONE), range(1, 7)).play(3000.0).as_kept("interval")
+    burst(SimulatedNode(ONE), range(1, 7)).run_until(3000.0).assert_matches_trace("interval")
 
 
 def test_rejections_halve_the_rate_and_clean_seconds_lead_back_to_the_busy_share():
@@ -18,7 +18,9 @@
             else (50.0, SendOutcome.ACKED)
         )
 
-    burst(SimulatedNode(ONE, answers, node_count=2), range(1, 13)).play(9000.0).as_kept("refusals")
+    burst(SimulatedNode(ONE, answers, node_count=2), range(1, 13)).run_until(9000.0).assert_matches_trace(
+        "refusals"
+    )
 
 
 def test_a_retry_after_blocks_every_send_and_the_longest_of_a_call_holds():
@@ -26,14 +28,14 @@
         return (50.0, SendOutcome.RATE_LIMITED, 400.0 * ticket) if now < 100.0 else (50.0, SendOutcome.ACKED)
 
     run = burst(SimulatedNode(TWO, answers, batch_size_by_kind=[3]), (1, 2, 3))
-    burst(run, (4,), 300.0).play(4000.0).as_kept("told_wait")
+    burst(run, (4,), 300.0).run_until(4000.0).assert_matches_trace("told_wait")
     assert all(moment >= 1260.0 for moment, _ in sent(run)[3:])
 
 
 def test_a_fall_of_the_reported_limit_is_followed_at_once():
     """A limit fell to a seventh; rejected calls used it up while the nodes kept to the listed rate."""
     run = SimulatedNode([(1, 0, 0, 0, 20.0, True)], node_count=2)
-    node, endpoint = run.session.router, (run.play(1.0), run.session.router.endpoints[1])[1]
+    node, endpoint = run.session.router, (run.run_until(1.0), run.session.router.endpoints[1])[1]
     for moment, limit in ((10.0, 20.0), (20.0, 21.0), (30.0, 3.0)):
         node.health.record_call(endpoint, SendOutcome.ACKED, moment, 50.0, LoadReport(0.5, limit))
         run.lines.append(
@@ -41,20 +43,22 @@
             f"even part {endpoint.rate_limiter.busy_share * 1000:.2f}, "
             f"of all {endpoint.rate_limiter.equal_share * 1000:.2f}"
         )
-    run.as_kept("told_limit")
+    run.assert_matches_trace("told_limit")
 
 
 def test_an_unlisted_limiter_is_unpaced_until_its_first_cut_and_never_starts_under_one_a_second():
     def answers(ticket, endpoint, now):
         return (50.0, SendOutcome.RATE_LIMITED) if now < 100.0 and ticket > 4 else (50.0, SendOutcome.ACKED)
 
-    burst(SimulatedNode(ONE, answers, listed_rates="off"), range(1, 9)).play(9000.0).as_kept("unlisted")
+    burst(SimulatedNode(ONE, answers, listed_rates="off"), range(1, 9)).run_until(
+        9000.0
+    ).assert_matches_trace("unlisted")
 
 
 def test_events_share_a_call_and_its_booking():
-    burst(SimulatedNode(ONE, batch_size_by_kind=[3], max_calls_in_flight=2), range(1, 8)).play(
+    burst(SimulatedNode(ONE, batch_size_by_kind=[3], max_calls_in_flight=2), range(1, 8)).run_until(
         3000.0
-    ).as_kept("batch")
+    ).assert_matches_trace("batch")
 
 
 def test_a_call_that_reached_nobody_gives_its_slot_back():
@@ -66,7 +70,7 @@
         seen.add(ticket)
         return (5.0, SendOutcome.NOT_EXECUTED) if first else (50.0, SendOutcome.ACKED)
 
-    run = burst(SimulatedNode([(1, 0, 0, 0, 1.0, True)], answers), (1, 2, 3)).play(2900.0)
+    run = burst(SimulatedNode([(1, 0, 0, 0, 1.0, True)], answers), (1, 2, 3)).run_until(2900.0)
     assert [round(float(line.split()[0]), -3) for line in run.lines if " acked " in line] == [
         0.0,
         1000.0,
--- a/tests/routing/test_recovery_ramp.py
+++ b/tests/routing/test_recovery_ramp.py
@@ -33,7 +33,7 @@
     routes = [(f"s-{number}", 0, 0, 0, limit, True) for number in range(endpoints)]
     fleet = Fleet(NODES, routes, {ident: back for ident, *_ in routes}, **terms)
     fleet.load(seed, load, 0.0, 30000.0)
-    fleet.play(30000.0)
+    fleet.run_until(30000.0)
     return back
 
 
--- a/tests/routing/test_retry_rules.py
+++ b/tests/routing/test_retry_rules.py
@@ -21,7 +21,9 @@
     def answers(ticket, endpoint, now):
         return (50.0, SendOutcome.RESET) if now < 1000.0 else (50.0, SendOutcome.ACKED)
 
-    burst(SimulatedNode(endpoints, answers, stream_types=[stream]), (1,)).play(20000.0).as_kept(name)
+    burst(SimulatedNode(endpoints, answers, stream_types=[stream]), (1,)).run_until(
+        20000.0
+    ).assert_matches_trace(name)
 
 
 def test_the_window_ends_a_deduplicated_event_that_may_have_run():
@@ -29,7 +31,9 @@
         return (50.0, SendOutcome.FAILED) if now < 100.0 else (50.0, SendOutcome.RATE_LIMITED, 9000.0)
 
     streams = [DEDUPLICATED._replace(deduplication_group="zone")]
-    burst(SimulatedNode(ONE, answers, stream_types=streams), (1,)).play(20000.0).as_kept("window")
+    burst(SimulatedNode(ONE, answers, stream_types=streams), (1,)).run_until(20000.0).assert_matches_trace(
+        "window"
+    )
 
 
 def test_a_pending_event_is_answered_before_its_max_age():
@@ -40,4 +44,4 @@
         stream_types=[IDEMPOTENT],
     )
     burst(run, (1, 2, 3, 4), left=2500.0)
-    burst(run, (5,), 20.0, destination=3, left=400.0).play(9000.0).as_kept("max_age")
+    burst(run, (5,), 20.0, destination=3, left=400.0).run_until(9000.0).assert_matches_trace("max_age")
--- a/tests/routing/test_send_deadline.py
+++ b/tests/routing/test_send_deadline.py
@@ -14,7 +14,7 @@
 
 def maybe_ran(stream, endpoint="a"):
     """A run at 1,000 ms, and an event of it whose first send, at 0 ms to this endpoint, may have run."""
-    run = SimulatedNode([row for row in ENTRIES if row[0] == endpoint], stream_types=[stream]).play(0.0)
+    run = SimulatedNode([row for row in ENTRIES if row[0] == endpoint], stream_types=[stream]).run_until(0.0)
     node = run.session.router
     event = node.add_event(0.0, 0, 0, stream.max_age_ms)
     assert node.decide(event, 0.0).endpoint.endpoint_id == endpoint
@@ -44,7 +44,7 @@
 
 
 def test_a_send_leaves_neither_into_a_wait_nor_a_drain_nor_past_the_end_of_its_event():
-    run = SimulatedNode(ENTRIES, stream_types=[NON_IDEMPOTENT]).play(0.0)
+    run = SimulatedNode(ENTRIES, stream_types=[NON_IDEMPOTENT]).run_until(0.0)
     node = run.session.router
     event, endpoint = node.add_event(0.0, 0, 0, 4000.0), node.endpoints["a"]
     assert node.send_deadline(event, endpoint, 10.0) == 3988.0
--- a/tests/routing/test_send_deadline_batch.py
+++ b/tests/routing/test_send_deadline_batch.py
@@ -7,7 +7,7 @@
 
 
 def test_what_travels_in_a_call_is_learnt_though_another_of_it_never_left():
-    run = SimulatedNode([("a", 0, 0, 0, 4.0, True)], batch_size_by_kind=[5]).play(0.0)
+    run = SimulatedNode([("a", 0, 0, 0, 4.0, True)], batch_size_by_kind=[5]).run_until(0.0)
     node = run.session.router
     one, two = [node.add_event(0.0, 0, 0, 9000.0) for _ in range(2)]
     assert node.decide(one, 0.0).endpoint is node.decide(two, 0.0).endpoint and one.call is two.call
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("left, first, second", [(600.0, "a", None), (1500.0, "a", "a")])
 def test_an_event_with_less_time_than_a_slow_answer_takes_travels_alone(left, first, second):
-    run = SimulatedNode([("a", 0, 0, 0, 4.0, True)], batch_size_by_kind=[5]).play(0.0)
+    run = SimulatedNode([("a", 0, 0, 0, 4.0, True)], batch_size_by_kind=[5]).run_until(0.0)
     node = run.session.router
     for short_first in (True, False):
         node.endpoints["a"].rate_limiter.next_slot_at = 0.0
--- a/tests/server/test_request_deadlines.py
+++ b/tests/server/test_request_deadlines.py
@@ -7,7 +7,7 @@
 
 import pytest
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 
 from swiftthread.storage.records import TAKEN, records
 
@@ -18,14 +18,14 @@
     with NodeProcess(tmp_path, FakeEndpoint()) as node:
         client = node.open() if is_accepted else None
         if is_accepted:
-            until(lambda: client.sendall(node.bytes_of("once", b"")[:1]) is None)
+            wait_until(lambda: client.sendall(node.submission_request("once", b"")[:1]) is None)
         node.process.send_signal(signal.SIGTERM)
         time.sleep(0.1)  # of the 0.6 s in which a shutdown answers whatever comes
         node.process.send_signal(signal.SIGSTOP)
         stopped_at = time.monotonic()
         client = client or node.open()
-        client.sendall(node.bytes_of("once", b"", ident="asks")[is_accepted:])
-        until(lambda: time.monotonic() - stopped_at > 0.8)
+        client.sendall(node.submission_request("once", b"", ident="asks")[is_accepted:])
+        wait_until(lambda: time.monotonic() - stopped_at > 0.8)
         node.process.send_signal(signal.SIGCONT)
         assert client.recv(99).startswith((b"HTTP/1.1 503", b"HTTP/1.1 202"))
         client.close()
@@ -36,12 +36,12 @@
     endpoint = FakeEndpoint(None)
     with NodeProcess(tmp_path, endpoint) as node:
         with node.open() as client:
-            client.sendall(node.bytes_of("once", b"", left="9000m"))  # accepted, and known to ask
+            client.sendall(node.submission_request("once", b"", left="9000m"))  # accepted, and known to ask
             assert client.recv(99).startswith(b"HTTP/1.1 202")
             node.process.send_signal(signal.SIGSTOP)
             came_at = time.time()
-            client.sendall(node.bytes_of("once", b"", left="4000m"))
-            until(lambda: time.time() > came_at + 0.4)
+            client.sendall(node.submission_request("once", b"", left="4000m"))
+            wait_until(lambda: time.time() > came_at + 0.4)
             node.process.send_signal(signal.SIGCONT)
             assert client.recv(99).startswith(b"HTTP/1.1 202")
         row = next(
--- a/tests/service/test_fleet_size.py
+++ b/tests/service/test_fleet_size.py
@@ -6,15 +6,16 @@
 import json
 import os
 import socket
+import sys
 import time
 from pathlib import Path
 
 import pytest
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 from support.simulated_node import SimulatedNode
 
-from swiftthread.client.discovery_client import MOST_LIST
+from swiftthread.client.json_stream import MAX_OBJECT_BYTES
 from swiftthread.service.limits import Limits
 
 MANY = 1024
@@ -41,46 +42,39 @@
         known=False,
         limits={"memory_mb": 32, "sockets": 256},
     ) as node:
-        until(lambda: node.discovery.watches)
-        node.discovery.tell(*rows)
-        until(lambda: node.hand_in(destination=MANY) == 202)
-        until(lambda: len(real[0].calls) + len(real[1].calls) == 1)
+        wait_until(lambda: node.discovery.watches)
+        node.discovery.send_change(*rows)
+        wait_until(lambda: node.submit(destination=MANY) == 202)
+        wait_until(lambda: len(real[0].calls) + len(real[1].calls) == 1)
         for begin in range(0, MANY - 2, 64):
-            node.discovery.tell(
+            node.discovery.send_change(
                 *[row | {"state": "DRAINING"} for row in rows[begin : min(begin + 64, MANY - 2)]]
             )
-        node.discovery.tell(rows[-1] | {"state": "DELETED"})
+        node.discovery.send_change(rows[-1] | {"state": "DELETED"})
         time.sleep(0.2)
         for _ in range(4):  # its part is two calls a second
-            assert node.hand_in(destination=MANY) == 202
-        until(lambda: len(real[0].calls) + len(real[1].calls) == 5)
+            assert node.submit(destination=MANY) == 202
+        wait_until(lambda: len(real[0].calls) + len(real[1].calls) == 5)
         assert len(real[1].calls) <= 1
         assert rss_mb(node.process) < 32.0 and len(os.listdir(f"/proc/{node.process.pid}/fd")) < 256
         node.parts["known"] = {"version": 1, "full": True, "servers": rows}
         node.discovery.page["servers"][:] = rows
         node.stop(), node.conf.write_text(json.dumps(node.parts))
-        assert node.start().hand_in(destination=1) == 202 and rss_mb(node.process) < 32.0
+        assert node.start().submit(destination=1) == 202 and rss_mb(node.process) < 32.0
 
 
 def test_a_list_of_a_thousand_costs_about_its_length():
     """Each endpoint that came had all of its destination's sorted anew."""
-
-    def compared(size):
-        run, seen = SimulatedNode([]).play(0.0), [0]
-
-        class Rank(float):
-            def __lt__(self, other):
-                seen[0] += 1
-                return float(self) < float(other)
-
-        run.session.router.fees = [Rank(0.0)]
-        run.session.router.apart_by_kind = [True]
-        run.session.router.apply_endpoint_list(
-            [(f"s-{number}", 0, 0, 0, 0.0, True) for number in range(size)], True, 0.0
-        )
-        return seen[0]
-
-    assert compared(MANY) < 15 * MANY
+    run = SimulatedNode([]).run_until(0.0)
+    entries = [(f"s-{number}", 0, 0, 0, 0.0, True) for number in range(MANY)]
+    calls = []
+    sys.setprofile(lambda frame, kind, argument: calls.append(kind) if kind == "call" else None)
+    try:
+        run.session.router.apply_endpoint_list(entries, True, 0.0)
+    finally:
+        sys.setprofile(None)
+    assert len(run.session.router.destinations[0].endpoints) == MANY
+    assert len(calls) < 15 * MANY
 
 
 def test_what_is_read_of_a_list_has_room_for_far_more_than_a_thousand():
@@ -94,7 +88,7 @@
         "weight": 1234.56789,
         "started_ms": 1796164699085,
     }
-    assert len(str(row)) * MANY * 4 < MOST_LIST
+    assert len(str(row)) * MANY * 4 < MAX_OBJECT_BYTES
 
 
 @pytest.mark.parametrize("sockets", [256, 1024, 4096])
@@ -119,4 +113,4 @@
         node.process.send_signal(18)
         for conn in conns:
             conn.close()
-        until(lambda: node.hand_in() == 202)
+        wait_until(lambda: node.submit() == 202)
--- a/tests/service/test_internal_errors.py
+++ b/tests/service/test_internal_errors.py
@@ -5,7 +5,7 @@
 
 import pytest
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 
 
 def started(folder, fault, *endpoints, **settings):
@@ -21,10 +21,10 @@
     """It takes and delivers another event, and has told the fault."""
     endpoint.script[:] = [200]
     calls = len(endpoint.calls)
-    assert node.hand_in() == 202
-    until(lambda: len(endpoint.calls) > calls and not node.held())
+    assert node.submit() == 202
+    wait_until(lambda: len(endpoint.calls) > calls and not node.pending_event_ids())
     assert node.healthy()
-    said = node.said()
+    said = node.stop_and_read_log()
     assert said.count("RuntimeError: a planted fault") >= ended and node.process.returncode == 0
     return said
 
@@ -41,8 +41,8 @@
     endpoint = FakeEndpoint()
     with started(tmp_path, fault, endpoint) as node:
         for _ in range(4):
-            assert node.hand_in() == 202
-        until(lambda: len(endpoint.calls) == 4 and not node.held())
+            assert node.submit() == 202
+        wait_until(lambda: len(endpoint.calls) == 4 and not node.pending_event_ids())
         assert "a tick failed" in still_serves(node, endpoint)
 
 
@@ -50,10 +50,12 @@
     endpoint = FakeEndpoint()
     with started(tmp_path, "swiftthread.routing.router:Router.decide 2", endpoint) as node:
         for _ in range(4):
-            assert node.hand_in() == 202
-        until(lambda: len(endpoint.calls) == 3 and node.notices() and not node.held())
-        assert list(node.notices().values()) == ["given_up"] and not set(node.notices()) & set(
-            endpoint.idents()
+            assert node.submit() == 202
+        wait_until(
+            lambda: len(endpoint.calls) == 3 and node.final_outcomes() and not node.pending_event_ids()
+        )
+        assert list(node.final_outcomes().values()) == ["given_up"] and not set(node.final_outcomes()) & set(
+            endpoint.event_ids()
         )
         assert "the delivery failed; the event is abandoned" in still_serves(node, endpoint)
 
@@ -65,8 +67,8 @@
         tmp_path, "swiftthread.service.pending_queues:PendingQueues._push_head 3", first, second
     ) as node:
         with node.open() as one, node.open() as two:
-            one.sendall(node.bytes_of()), two.sendall(node.bytes_of(destination=2))
-            until(lambda: first.calls and second.calls and not node.held())
+            one.sendall(node.submission_request()), two.sendall(node.submission_request(destination=2))
+            wait_until(lambda: first.calls and second.calls and not node.pending_event_ids())
         assert len(first.calls) == len(second.calls) == 1
         assert "a tick failed" in still_serves(node, first)
 
@@ -74,9 +76,11 @@
 def test_a_fault_in_a_notice_tells_it_again(tmp_path):
     endpoint = FakeEndpoint("reset")
     with started(tmp_path, "swiftthread.client.result_notifier:exchange 1 2", endpoint) as node:
-        assert node.hand_in("once") == 202
-        until(lambda: list(node.notices().values()) == ["given_up"] and not node.held())
-        assert "notices failed" in still_serves(node, endpoint)
+        assert node.submit("once") == 202
+        wait_until(
+            lambda: list(node.final_outcomes().values()) == ["given_up"] and not node.pending_event_ids()
+        )
+        assert "notifications failed" in still_serves(node, endpoint)
 
 
 def test_a_fault_in_the_list_asks_for_the_whole_list(tmp_path):
@@ -84,13 +88,13 @@
     with started(
         tmp_path, "swiftthread.client.discovery_client:DiscoveryClient.parse_list 3", endpoint
     ) as node:  # 1: known, 2: the first list
-        until(lambda: node.discovery.watches)
-        node.discovery.tell(later.entry())
+        wait_until(lambda: node.discovery.watches)
+        node.discovery.send_change(later.entry())
         node.discovery.page = {"version": 9, "full": True, "servers": [endpoint.entry(), later.entry()]}
-        until(lambda: len(node.discovery.targets) == 2)
+        wait_until(lambda: len(node.discovery.targets) == 2)
         assert node.discovery.targets[1].endswith("from=0")
-        until(lambda: node.hand_in(destination=2) == 202)
-        until(lambda: later.calls)
+        wait_until(lambda: node.submit(destination=2) == 202)
+        wait_until(lambda: later.calls)
         assert "the watch failed" in still_serves(node, endpoint)
 
 
@@ -100,9 +104,9 @@
     with started(
         tmp_path, "swiftthread.client.endpoint_client:exchange 1", endpoint, Weights="nominal"
     ) as node:
-        assert node.hand_in() == 202
-        until(lambda: endpoint.probes and len(endpoint.calls) == 2 and not node.held())
-        assert "a probe failed" in still_serves(node, endpoint)
+        assert node.submit() == 202
+        wait_until(lambda: endpoint.probes and len(endpoint.calls) == 2 and not node.pending_event_ids())
+        assert "a health check failed" in still_serves(node, endpoint)
 
 
 def test_a_fault_in_an_accept_rejects_that_client_alone(tmp_path):
@@ -111,6 +115,6 @@
         for _ in range(4):
             # The one that met the fault.
             with contextlib.suppress(OSError, IndexError):
-                node.hand_in()
-        until(lambda: len(endpoint.calls) >= 3)
+                node.submit()
+        wait_until(lambda: len(endpoint.calls) >= 3)
         assert "a client could not be accepted" in still_serves(node, endpoint)
--- a/tests/service/test_unknown_tenants.py
+++ b/tests/service/test_unknown_tenants.py
@@ -1,7 +1,7 @@
 """A client that is none of the settings' tenants has no tenant's quota and no tenant's share."""
 
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 from support.simulated_node import SimulatedNode
 from support.stream_types import IDEMPOTENT
 
@@ -31,10 +31,10 @@
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint, Realms=REALMS) as node:
         for number, tenant in enumerate(("north", "east", None)):
-            assert node.hand_in(**{"X-Org": tenant}) == 202
-            until(lambda: len(endpoint.calls) == number + 1)
+            assert node.submit(**{"X-Org": tenant}) == 202
+            wait_until(lambda: len(endpoint.calls) == number + 1)
         log = node.log_path().read_bytes()
         assert [log.count(name) for name in (b'"north"', b'"east"', b"null")] == [1, 1, 1]
-        output = node.said()
+        output = node.stop_and_read_log()
         assert "evt-2: tenant 'east' is none of the settings'" in output
         assert "evt-1: tenant" not in output
--- a/tests/storage/test_duplicate_submissions.py
+++ b/tests/storage/test_duplicate_submissions.py
@@ -5,7 +5,7 @@
 import pytest
 from log_fixtures import NOW, open_log, pending_event
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, until
+from support.node_process import NodeProcess, wait_until
 
 from swiftthread.storage.log_file import FILE_NAME
 from swiftthread.storage.recently_ended import RETENTION_MS
@@ -15,15 +15,15 @@
 def test_an_event_submitted_again_after_a_kill_is_no_second_event(tmp_path):
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint) as node:
-        assert node.hand_in("once", ident="crossed") == 202
-        until(lambda: b'E["crossed"]' in node.log_path().read_bytes())
+        assert node.submit("once", ident="crossed") == 202
+        wait_until(lambda: b'E["crossed"]' in node.log_path().read_bytes())
         node.stop(signal.SIGKILL)
         node.start()
-        assert node.hand_in("once", ident="crossed", left="2000m") == 202
-        assert node.hand_in("once", ident="next") == 202
-        until(lambda: b'E["next"]' in node.log_path().read_bytes())
-        assert endpoint.idents() == ["crossed", "next"]
-        assert node.notices() == {}
+        assert node.submit("once", ident="crossed", left="2000m") == 202
+        assert node.submit("once", ident="next") == 202
+        wait_until(lambda: b'E["next"]' in node.log_path().read_bytes())
+        assert endpoint.event_ids() == ["crossed", "next"]
+        assert node.final_outcomes() == {}
 
 
 @pytest.mark.parametrize("is_compacted", [False, True])
@@ -81,10 +81,10 @@
     endpoint = FakeEndpoint(None)
     other = FakeEndpoint(ident="s-2", cell=2)
     with NodeProcess(tmp_path, endpoint, other) as node:
-        assert node.hand_in("once", ident="one", body=b"mine") == 202
-        assert node.hand_in("once", ident="one", body=b"yours", destination=2) == 409
-        assert node.hand_in("once", ident="one", body=b"mine", left="300m") == 202
-        assert node.hand_in("once", ident="two", destination=2) == 202
-        until(lambda: endpoint.calls and other.calls)
+        assert node.submit("once", ident="one", body=b"mine") == 202
+        assert node.submit("once", ident="one", body=b"yours", destination=2) == 409
+        assert node.submit("once", ident="one", body=b"mine", left="300m") == 202
+        assert node.submit("once", ident="two", destination=2) == 202
+        wait_until(lambda: endpoint.calls and other.calls)
         assert [call[3] for call in endpoint.calls] == [b"mine"]
-        assert other.idents() == ["two"]
+        assert other.event_ids() == ["two"]
--- a/tests/storage/test_full_disk.py
+++ b/tests/storage/test_full_disk.py
@@ -12,15 +12,15 @@
 import pytest
 from log_fixtures import NOW, open_log, pending_event
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, lane, until
+from support.node_process import NodeProcess, stream_profile, wait_until
 
 from swiftthread.storage import log_file
 from swiftthread.storage.log_file import LogFile, LogFileError
 
 STREAM_TYPES = [
-    lane("notice", "retryable"),
-    lane("once", "fragile", Deadline=9.0),
-    lane("posting", "dedup", Group="zone", Window=6.0, Deadline=9.0),
+    stream_profile("notice", "retryable"),
+    stream_profile("once", "fragile", Deadline=9.0),
+    stream_profile("posting", "dedup", Group="zone", Window=6.0, Deadline=9.0),
 ]
 
 # In a process of its own: the limit holds for each of its files, so for a test runner's output too.
@@ -131,17 +131,19 @@
             return "reset"
 
         first.script[0] = fill_the_disk
-        assert node.hand_in("posting", left="8000m", **{"Idempotency-Key": "k"}) == 202
-        until(lambda: sizes)
+        assert node.submit("posting", left="8000m", **{"Idempotency-Key": "k"}) == 202
+        wait_until(lambda: sizes)
         time.sleep(0.3)
         limit_files(node, resource.RLIM_INFINITY)
-        until(lambda: len(first.calls) == 2 or os.path.getsize(node.log_path()) > sizes[0])
+        wait_until(lambda: len(first.calls) == 2 or os.path.getsize(node.log_path()) > sizes[0])
         node.stop(signal.SIGKILL)
         first.cut()
         node.discovery.page["servers"][:] = [other.entry()]
         node.parts["known"] = node.discovery.page
         node.start()
-        until(lambda: node.notices() or other.calls or b'E["evt-1"]' in node.log_path().read_bytes())
+        wait_until(
+            lambda: node.final_outcomes() or other.calls or b'E["evt-1"]' in node.log_path().read_bytes()
+        )
         assert not other.calls
 
 
@@ -152,26 +154,26 @@
     with NodeProcess(tmp_path, endpoint, silent, Profiles=STREAM_TYPES, Permissions={"MaxOpen": 10}) as node:
 
         def submit(number, destination=1):
-            assert node.hand_in("once", left="8000m", ident=f"evt-{number}", destination=destination) == 202
+            assert node.submit("once", left="8000m", ident=f"evt-{number}", destination=destination) == 202
             return os.path.getsize(node.log_path())
 
         submit(10, destination=2)
         submit(11)
-        until(lambda: b'N["evt-11"]' in node.log_path().read_bytes() and silent.calls)
+        wait_until(lambda: b'N["evt-11"]' in node.log_path().read_bytes() and silent.calls)
         sizes = [submit(number) for number in range(12, 19)]  # held back by the Retry-After
         limit_files(node, sizes[-1] + 80)  # room for one more, some 70 bytes, and none for a decision
         submit(19)
-        until(node.notices)
+        wait_until(node.final_outcomes)
         node.stop(signal.SIGKILL)
-        rejected = node.notices()
+        rejected = node.final_outcomes()
         endpoint.script[:] = [200]
         endpoint.calls[:] = []
         node.parts["settings"]["Permissions"]["MaxOpen"] = 50
         node.conf.write_text(json.dumps(node.parts))
         node.start()
-        until(lambda: len(endpoint.calls) >= 8 and "evt-10" in node.notices())
-        until(lambda: b'E["%s"]' % list(rejected)[0].encode() in node.log_path().read_bytes())
+        wait_until(lambda: len(endpoint.calls) >= 8 and "evt-10" in node.final_outcomes())
+        wait_until(lambda: b'E["%s"]' % list(rejected)[0].encode() in node.log_path().read_bytes())
         assert list(rejected.values()) == ["handed_back"]
-        assert node.notices() == rejected | {"evt-10": "given_up"}
+        assert node.final_outcomes() == rejected | {"evt-10": "given_up"}
         assert len(endpoint.calls) == 8
-        assert not set(rejected) & set(endpoint.idents())
+        assert not set(rejected) & set(endpoint.event_ids())
--- a/tests/storage/test_log_recovery.py
+++ b/tests/storage/test_log_recovery.py
@@ -4,7 +4,7 @@
 
 from log_fixtures import NOW, open_log, pending_event
 from support.fake_servers import FakeEndpoint
-from support.node_process import NodeProcess, lane, until
+from support.node_process import NodeProcess, stream_profile, wait_until
 
 from swiftthread.storage.log_file import FILE_NAME
 from swiftthread.storage.pending_event import UNKNOWN_EXECUTION
@@ -108,11 +108,11 @@
 
 def test_a_damaged_log_is_reported_at_the_start_and_what_may_have_run_is_not_sent(tmp_path):
     endpoint = FakeEndpoint(None)
-    stream_types = [lane("notice", "retryable"), lane("once", "fragile", Deadline=9.0)]
+    stream_types = [stream_profile("notice", "retryable"), stream_profile("once", "fragile", Deadline=9.0)]
     with NodeProcess(tmp_path, endpoint, Profiles=stream_types, Domain={"CallsOut": 1}) as node:
-        assert node.hand_in("once") == 202
-        until(lambda: endpoint.calls)
-        assert node.hand_in("once") == node.hand_in("notice") == 202  # taken after what will be damaged
+        assert node.submit("once") == 202
+        wait_until(lambda: endpoint.calls)
+        assert node.submit("once") == node.submit("notice") == 202  # taken after what will be damaged
         node.stop(signal.SIGKILL)
         log = bytearray(node.log_path().read_bytes())
         log[log.index(b'O["evt-1"') + 5] ^= 1
@@ -120,7 +120,7 @@
         endpoint.script[:] = [200]
         endpoint.calls[:] = []
         node.start()
-        until(lambda: len(endpoint.calls) == 2 and node.notices())
-        assert node.notices() == {"evt-1": "given_up"}
-        assert set(endpoint.idents()) == {"evt-2", "evt-3"}
-        assert "none of this program's records" in node.said()
+        wait_until(lambda: len(endpoint.calls) == 2 and node.final_outcomes())
+        assert node.final_outcomes() == {"evt-1": "given_up"}
+        assert set(endpoint.event_ids()) == {"evt-2", "evt-3"}
+        assert "none of this program's records" in node.stop_and_read_log()
--- a/tests/support/event_bursts.py
+++ b/tests/support/event_bursts.py
@@ -7,7 +7,7 @@
 def burst(run, tickets, moment=10.0, **event):
     """Hand in one event a ticket at one moment; returns the run."""
     for ticket in tickets:
-        run.at(moment, lambda ticket=ticket: run.take(ticket, **event))
+        run.schedule(moment, lambda ticket=ticket: run.submit(ticket, **event))
     return run
 
 
--- a/tests/support/fake_servers.py
+++ b/tests/support/fake_servers.py
@@ -166,7 +166,7 @@
             said = said(body)
         return (said, [], b"") if isinstance(said, int) else said
 
-    def idents(self):
+    def event_ids(self):
         """Event ids of the calls, in order; none may be a batch."""
         return [headers["x-txn"] for _, _, headers, _ in self.calls]
 
@@ -187,7 +187,7 @@
         self.gate.wait()
         super()._serve(conn)
 
-    def shut(self):
+    def stop_accepting(self):
         """Accept no more, and fill the accept queue."""
         self.gate.clear()
         while True:
@@ -198,7 +198,7 @@
             if not select.select([], [sock], [], 0.05)[1]:
                 return
 
-    def hear(self):
+    def resume_accepting(self):
         """Empty the accept queue, and accept again."""
         while self.crowd:
             self.crowd.pop().close()
@@ -212,7 +212,7 @@
         super().__init__(self._ask)
         self.page = {"version": 1, "full": True, "servers": list(entries)}
         self.watches = []
-        self.notices = []
+        self.notifications = []
         self.refusing = 0  # how many notifications are answered with 500
         self.targets = []
         self.silent = False  # whether the watches lack their keep-alive lines
@@ -222,7 +222,7 @@
             if self.refusing:
                 self.refusing -= 1
                 return 500, [], b""
-            self.notices += [json.loads(line) for line in body.splitlines()]
+            self.notifications += [json.loads(line) for line in body.splitlines()]
             return 204, [], b""
         self.targets.append(target)
         return self._watch
@@ -241,14 +241,14 @@
         data = text.encode() + b"\n"
         conn.sendall(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def tell(self, *entries):
+    def send_change(self, *entries):
         """Send a change of the list to all watches."""
         self.page = {"version": self.page["version"] + 1, "full": False, "servers": list(entries)}
         for conn in self.watches:
             with contextlib.suppress(OSError):  # a watch that the node has left
                 self._line(conn, json.dumps(self.page))
 
-    def lose_watches(self):
+    def drop_watches(self):
         """Shut all watches down."""
         watches, self.watches = self.watches, []
         for conn in watches:
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -14,7 +14,7 @@
 from swiftthread.storage.records import ENDED, TAKEN, records
 
 
-def lane(name, effect, **more):
+def stream_profile(name, effect, **more):
     """A stream type of the settings document (`Profiles`), other keys given by name."""
     return {"Name": name, "Effect": effect, "Aim": 1.5, "Deadline": 5.0, "Value": 1.0, "Group": "all"} | more
 
@@ -44,10 +44,10 @@
             "MaxRetryAfter": 3.0,
         },
         "Profiles": [
-            lane("notice", "retryable"),
-            lane("posting", "dedup", Window=3.0),
-            lane("once", "fragile"),
-            lane("turn", "retryable", InTurn=True),
+            stream_profile("notice", "retryable"),
+            stream_profile("posting", "dedup", Window=3.0),
+            stream_profile("once", "fragile"),
+            stream_profile("turn", "retryable", InTurn=True),
         ],
     }
 
@@ -108,7 +108,7 @@
             cwd=self.home,
             env=os.environ | {"LB_CONFIG": str(self.conf)} | self.environ,
         )
-        until(lambda: self.healthy())
+        wait_until(lambda: self.healthy())
         return self
 
     def healthy(self):
@@ -127,7 +127,9 @@
             conn.sendall(data)
             return conn.recv(4096)
 
-    def bytes_of(self, stream="notice", body=b"hello", destination=1, left="4000m", ident=None, **headers):
+    def submission_request(
+        self, stream="notice", body=b"hello", destination=1, left="4000m", ident=None, **headers
+    ):
         """A client's request; a header given as None is left out."""
         ident = ident or f"evt-{next(self.count)}"
         head = {
@@ -141,19 +143,19 @@
         lines = "".join(f"{name}: {value}\r\n" for name, value in head.items() if value is not None)
         return f"POST /{stream} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
-    def hand_in(self, *args, **more):
+    def submit(self, *args, **more):
         """Submit an event (arguments: `bytes_of`), and return the status of the answer."""
-        return int(self.raw(self.bytes_of(*args, **more)).split()[1])
+        return int(self.raw(self.submission_request(*args, **more)).split()[1])
 
-    def notices(self):
+    def final_outcomes(self):
         """Event id -> final outcome, as discovery was notified of them."""
-        return {row["message"]: row["outcome"] for row in self.discovery.notices}
+        return {row["message"]: row["outcome"] for row in self.discovery.notifications}
 
     def stop(self, how=signal.SIGTERM):
         self.process.send_signal(how)
         return self.process.wait(timeout=10)
 
-    def said(self):
+    def stop_and_read_log(self):
         """Stop it, and return what it logged."""
         self.stop()
         return self.process.stderr.read().decode()
@@ -165,7 +167,7 @@
         """Whether the write-ahead log holds the record that ends this event."""
         return b'E["%s"]' % event_id.encode() in self.log_path().read_bytes()
 
-    def held(self):
+    def pending_event_ids(self):
         """Ids of the events that are pending by its write-ahead log."""
         held = {}
         for _, _, kind, payload in records(self.log_path().read_bytes()):
@@ -183,7 +185,7 @@
     return conn.recv(999)
 
 
-def until(true, patience=8.0):
+def wait_until(true, patience=8.0):
     """Wait until a condition holds; AssertionError when it does not within so many seconds."""
     end = time.monotonic() + patience
     while not true():
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -71,12 +71,12 @@
         )
         self.session.router.random_uniform = random.Random(number).uniform
 
-    def at(self, moment, act, *args):
+    def schedule(self, moment, act, *args):
         heapq.heappush(self.fleet.todo, (moment, next(self.fleet.turn), self, act, args))
 
-    def over(self, ticket, endpoint, outcome, delay, told=0.0):
+    def end_attempt(self, ticket, endpoint, outcome, delay, told=0.0):
         if outcome != SendOutcome.CONNECTION_LIMIT:
-            super().over(ticket, endpoint, outcome, delay, told)
+            super().end_attempt(ticket, endpoint, outcome, delay, told)
             return
         # Known to sockets alone; the simulator's protocol has no code for it.
         event = self.session.in_flight.pop(ticket)
@@ -106,10 +106,10 @@
         moment = begin
         while (moment := moment + draw.expovariate(rate / 1000.0)) < end:
             member = draw.choice(self.members)
-            member.at(moment, member.take, next(ticket))
+            member.schedule(moment, member.submit, next(ticket))
 
-    def play(self, until):
-        while self.todo and self.todo[0][0] <= until:
+    def run_until(self, end):
+        while self.todo and self.todo[0][0] <= end:
             now, _, member, act, args = heapq.heappop(self.todo)
             member.now = now
             act(*args)
--- a/tests/support/simulated_node.py
+++ b/tests/support/simulated_node.py
@@ -42,17 +42,17 @@
         self.now = 0.0
         self.todo = []  # heap of (moment, order of insertion, function, arguments)
         self.turn = count()
-        self.at(0.0, self.list, endpoints, True)
+        self.schedule(0.0, self.apply_endpoint_list, endpoints, True)
 
-    def at(self, moment, act, *args):
+    def schedule(self, moment, act, *args):
         """Call a function when the clock gets there."""
         heapq.heappush(self.todo, (moment, next(self.turn), act, args))
 
-    def list(self, endpoints, whole=False):
+    def apply_endpoint_list(self, endpoints, whole=False):
         """Apply an endpoint list, of rows (id, destination, zone, kind, listed rate, ready)."""
         self.session.apply_endpoint_list(endpoints, whole, self.now)
 
-    def take(self, ticket, destination=0, stream=0, left=None, ordering_key=0):
+    def submit(self, ticket, destination=0, stream=0, left=None, ordering_key=0):
         """Submit an event."""
         router = self.session.router
         event = router.add_event(
@@ -60,7 +60,7 @@
         )
         self.session.hold(event, ticket)
 
-    def over(self, ticket, endpoint, outcome, delay, told=0.0):
+    def end_attempt(self, ticket, endpoint, outcome, delay, told=0.0):
         """End an attempt."""
         self.say(f"{outcome} {ticket} at {endpoint}" + (f", told to wait {told:.0f}" if told else ""))
         code = CODES[outcome]
@@ -87,7 +87,7 @@
         delay, outcome, *told = self.answers(ticket, endpoint, self.now) or (allow, SendOutcome.TIMED_OUT)
         if delay >= allow:
             delay, outcome, told = allow, SendOutcome.TIMED_OUT, ()
-        self.at(self.now + delay, self.over, ticket, endpoint, outcome, delay, *told)
+        self.schedule(self.now + delay, self.end_attempt, ticket, endpoint, outcome, delay, *told)
 
     def reject(self, _node, ticket, come_back):
         self.say(f"decline {ticket}, come back after {come_back:.0f}")
@@ -98,7 +98,7 @@
     def probe(self, _node, endpoint):
         self.say(f"probe {endpoint}")
         delay, outcome, *_ = self.answers(None, endpoint, self.now) or (1000.0, SendOutcome.TIMED_OUT)
-        self.at(
+        self.schedule(
             self.now + delay, self.session.router.record_probe, endpoint, outcome, self.now + delay, delay
         )
 
@@ -109,15 +109,15 @@
         self.say("ask for the list")
 
     def schedule_wakeup(self, _node, delay, _label):
-        self.at(self.now + delay, lambda: None)
+        self.schedule(self.now + delay, lambda: None)
 
     def say(self, line):
         """Add a line to the trace."""
         self.lines.append(f"{self.now:8.1f}  {line}")
 
-    def play(self, until):
+    def run_until(self, end):
         """Let the clock run to this moment."""
-        while self.todo and self.todo[0][0] <= until:
+        while self.todo and self.todo[0][0] <= end:
             self.now = self.todo[0][0]
             while self.todo and self.todo[0][0] <= self.now:
                 _, _, act, args = heapq.heappop(self.todo)
@@ -125,7 +125,7 @@
             self.session.settle(self.now, self)
         return self
 
-    def as_kept(self, name):
+    def assert_matches_trace(self, name):
         """Compare with the trace stored under this name."""
         path = TRACES / f"{name}.txt"
         trace = "\n".join(self.lines) + "\n"
