--- a/swiftthread/lab/runner/result.py
+++ b/swiftthread/lab/runner/result.py
@@ -90,7 +90,8 @@
 
     def to_json_object(self) -> dict[str, Any]:
         """Return the result under the keys of its file."""
-        return msgspec.to_builtins(self)
+        document: dict[str, Any] = msgspec.to_builtins(self)
+        return document
 
     def write(self, folder: Path) -> None:
         """Write the result to a run's folder."""
@@ -137,7 +138,8 @@
         )
 
     def _percentile_ms(self, percentile: float) -> float:
-        return self.histogram.get_value_at_percentile(percentile) / 1000.0
+        value_us: int = self.histogram.get_value_at_percentile(percentile)
+        return value_us / 1000.0
 
     def void_reason(self) -> str:
         """Return why a run with these lags is void; empty when it is not."""
--- a/swiftthread/routing/urgency.py
+++ b/swiftthread/routing/urgency.py
@@ -60,6 +60,7 @@
         weight = event.priority_weight * (at <= event.expires_at)
         if self.halves_late_value:
             halvings = late_ms / max(1.0, stream_type.latency_objective_ms)
-            return weight * max(stream_type.late_weight, 0.5**halvings)
+            remaining: float = 0.5**halvings
+            return weight * max(stream_type.late_weight, remaining)
         span_ms = max(1.0, stream_type.max_age_ms - stream_type.latency_objective_ms)
         return weight * (1 - (1 - stream_type.late_weight) * min(1.0, late_ms / span_ms))
--- a/swiftthread/service/delivery.py
+++ b/swiftthread/service/delivery.py
@@ -7,8 +7,9 @@
 import anyio
 from loguru import logger
 
-from swiftthread.client.endpoint_client import EndpointClient, SendResult
+from swiftthread.client.endpoint_client import EndpointClient
 from swiftthread.client.result_notifier import ResultNotifier
+from swiftthread.client.send_result import SendResult
 from swiftthread.routing.events import Event
 from swiftthread.routing.messages import NEVER_RAN, Abandon, Defer, Reject, Send, SendOutcome
 from swiftthread.routing.router import Router
--- a/swiftthread/service/node.py
+++ b/swiftthread/service/node.py
@@ -12,6 +12,7 @@
 from swiftthread.client.result_notifier import ResultNotifier
 from swiftthread.network.connection_pool import ConnectionPool
 from swiftthread.routing.endpoint import Endpoint
+from swiftthread.routing.messages import EndpointEntry
 from swiftthread.routing.router import Router
 from swiftthread.server.http_server import HttpServer
 from swiftthread.service.admission import AdmissionController
@@ -72,7 +73,7 @@
         )
         self.scheduler.wake(endpoint.destination)
 
-    async def _apply_endpoint_list(self, entries: list, is_complete: bool) -> None:
+    async def _apply_endpoint_list(self, entries: list[EndpointEntry], is_complete: bool) -> None:
         """Tell the router a list of endpoints, or a change of it."""
         now = await self.scheduler.wait_for_tick()
         self.router.apply_endpoint_list(entries, is_complete, now)
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -56,7 +56,7 @@
     def __init__(self, router: Router) -> None:
         self.router = router
         self.group_of: dict[Event, QueueGroup | None] = {}
-        self.groups: dict[tuple, QueueGroup] = {}
+        self.groups: dict[tuple[Hashable, ...], QueueGroup] = {}
         self.groups_by_destination: dict[Destination, dict[QueueGroup, bool]] = {}
         self.waiting_for_slot: dict[QueueGroup, bool] = {}
         self.event_timers = EventTimers()
--- a/swiftthread/service/queue_group.py
+++ b/swiftthread/service/queue_group.py
@@ -2,7 +2,7 @@
 
 import math
 from bisect import insort
-from collections.abc import Iterator
+from collections.abc import Hashable, Iterator
 from typing import Final
 
 from swiftthread.routing.events import Destination, Event
@@ -51,7 +51,9 @@
         "_horizon_ms",
     )
 
-    def __init__(self, key: tuple, destination: Destination, router: Router, now: float) -> None:
+    def __init__(
+        self, key: tuple[Hashable, ...], destination: Destination, router: Router, now: float
+    ) -> None:
         self.key = key
         self.destination = destination
         self.entries: list[QueueEntry] = []
