--- a/tests/service/test_pending_queues.py
+++ b/tests/service/test_pending_queues.py
@@ -298,7 +298,7 @@
     # The end of an ejection wakes nobody; it never did.
     monkeypatch.setattr(health, "STREAM_TYPE_EJECTION_MS", 0.0)
     run = RandomRun(seed)
-    run.run_until()
+    run.play()
     assert run.decided_count > 150 and run.compared_count > 5 and len(run.queues) == len(run.pending)
     timers = run.queues.event_timers
     moments = {timer: at for at, _, timer in timers.heap}
