--- a/tests/routing/test_connection_tables.py
+++ b/tests/routing/test_connection_tables.py
@@ -16,7 +16,7 @@
     fleet.load(1, 60.0, 0.0, 20000.0)
     fleet.run_until(30000.0)
     assert len(table.calls) > 1000 and table.share_rejected() < 0.05
-    assert len(fleet.lines("decline")) < 10
+    assert len(fleet.lines("reject ")) < 10
 
 
 def test_a_full_table_is_neither_a_rejection_nor_an_outage():
@@ -56,7 +56,7 @@
     run = SimulatedNode(ONE, keepalive_ms=5000.0)
     for ticket, moment in enumerate((10.0, 12000.0, 12400.0, 12800.0, 13200.0), 1):
         run.schedule(moment, run.submit, ticket)
-    run.run_until(20000.0).assert_matches_trace("closes")
+    run.run_until(20000.0).assert_matches_trace("idle_closes")
     for ticket in range(6, 66):
         run.schedule(20000.0 + 120.0 * ticket, run.submit, ticket)
     run.run_until(30000.0)
--- a/tests/routing/test_endpoint_changes.py
+++ b/tests/routing/test_endpoint_changes.py
@@ -13,7 +13,7 @@
         (endpoint, destination, zone, kind, rate, False) for endpoint, destination, zone, kind, rate, _ in TWO
     ]
     run.schedule(300.0, run.apply_endpoint_list, first)
-    burst(run, (8,), 400.0).run_until(20000.0).assert_matches_trace("drain")
+    burst(run, (8,), 400.0).run_until(20000.0).assert_matches_trace("draining")
 
 
 @pytest.mark.parametrize("whole", [False, True])
@@ -52,5 +52,5 @@
     )
     run.schedule(500.0, run.apply_endpoint_list, [(1, 0, 0, 0, 4.0, False)])
     run.schedule(900.0, run.apply_endpoint_list, routes)
-    run.run_until(6000.0).assert_matches_trace("wait_outlasts_list")
+    run.run_until(6000.0).assert_matches_trace("retry_after_outlasts_list")
     assert sent(run)[1][0] >= 3060.0
--- a/tests/routing/test_endpoint_selection.py
+++ b/tests/routing/test_endpoint_selection.py
@@ -14,7 +14,7 @@
 def test_a_route_without_a_carriage_cost_is_waited_for_until_that_costs_more():
     routes = [(1, 0, 0, 0, 1.0, True), (2, 0, 1, 0, 1.0, True)]
     run = SimulatedNode(routes, separate_routes_by_kind=[True], carriage_cost_by_zone=[0.05, 0.0])
-    burst(run, range(1, 5)).run_until(6000.0).assert_matches_trace("fees")
+    burst(run, range(1, 5)).run_until(6000.0).assert_matches_trace("carriage_cost")
 
 
 def test_a_route_that_is_out_keeps_nobody_from_the_slots_of_another():
@@ -43,7 +43,7 @@
     )
     for ticket in range(1, 17):
         run.schedule(600.0 * ticket, run.submit, ticket, 0, ticket % 2)
-    run.run_until(20000.0).assert_matches_trace("one_stream_type")
+    run.run_until(20000.0).assert_matches_trace("ejected_for_one_stream_type")
 
 
 def test_an_overload_is_not_served_oldest_first():
--- a/tests/routing/test_ordering_keys.py
+++ b/tests/routing/test_ordering_keys.py
@@ -18,7 +18,7 @@
         ordering_rest_ms=2500.0,
     )
     burst(run, (1, 2, 3), ordering_key=9)
-    burst(run, (4,), 20.0, ordering_key=8).run_until(9000.0).assert_matches_trace("order")
+    burst(run, (4,), 20.0, ordering_key=8).run_until(9000.0).assert_matches_trace("ordering_key")
 
 
 def test_order_waits_for_the_send_of_a_withdrawn_event():
@@ -29,4 +29,4 @@
     )
     burst(run, (1, 2), ordering_key=9)
     run.schedule(100.0, run.withdraw, 1)
-    run.run_until(3000.0).assert_matches_trace("order_withdrawn")
+    run.run_until(3000.0).assert_matches_trace("ordering_key_withdrawn")
--- a/tests/routing/test_outages.py
+++ b/tests/routing/test_outages.py
@@ -58,7 +58,7 @@
     run = SimulatedNode(ONE, answers)
     for ticket in range(1, 40):
         run.schedule(400.0 * ticket, run.submit, ticket)
-    run.run_until(20000.0).assert_matches_trace("cold_time_out")
+    run.run_until(20000.0).assert_matches_trace("warm_up_time_out")
 
 
 def test_resets_here_and_there_are_no_outage():
@@ -105,7 +105,7 @@
     run = SimulatedNode(ONE, answers, keepalive_ms=5000.0, connect_timeout_ms=1000.0)
     for ticket, moment in enumerate((10.0, 2000.0, 4000.0, 4200.0, 9000.0), 1):
         run.schedule(moment, run.submit, ticket)
-    run.run_until(20000.0).assert_matches_trace("table")
+    run.run_until(20000.0).assert_matches_trace("full_connection_table")
 
 
 def test_two_rejections_over_more_than_two_seconds_mean_shut():
@@ -128,7 +128,7 @@
         assert run.run_until(4000.0).session.router.endpoints[1].is_down
         return run.run_until(14000.0)
 
-    met(7).assert_matches_trace("shut_by_refusals")
+    met(7).assert_matches_trace("shut_by_rejections")
     # As long as it is shut: at a pause of 37 s, the first at any time in it, some 3 of 20 make a trial.
     trials = [moment for seed in range(20) for moment, _ in sent(met(seed)) if 4000.0 < moment < 10000.0]
     assert len(trials) <= 6
--- a/tests/routing/test_pacing.py
+++ b/tests/routing/test_pacing.py
@@ -7,7 +7,7 @@
 
 
 def test_sends_keep_the_emission_interval():
-    burst(SimulatedNode(ONE), range(1, 7)).run_until(3000.0).assert_matches_trace("interval")
+    burst(SimulatedNode(ONE), range(1, 7)).run_until(3000.0).assert_matches_trace("emission_interval")
 
 
 def test_rejections_halve_the_rate_and_clean_seconds_lead_back_to_the_busy_share():
@@ -19,7 +19,7 @@
         )
 
     burst(SimulatedNode(ONE, answers, node_count=2), range(1, 13)).run_until(9000.0).assert_matches_trace(
-        "refusals"
+        "rejections"
     )
 
 
@@ -28,7 +28,7 @@
         return (50.0, SendOutcome.RATE_LIMITED, 400.0 * ticket) if now < 100.0 else (50.0, SendOutcome.ACKED)
 
     run = burst(SimulatedNode(TWO, answers, batch_size_by_kind=[3]), (1, 2, 3))
-    burst(run, (4,), 300.0).run_until(4000.0).assert_matches_trace("told_wait")
+    burst(run, (4,), 300.0).run_until(4000.0).assert_matches_trace("retry_after")
     assert all(moment >= 1260.0 for moment, _ in sent(run)[3:])
 
 
@@ -39,11 +39,11 @@
     for moment, limit in ((10.0, 20.0), (20.0, 21.0), (30.0, 3.0)):
         node.health.record_call(endpoint, SendOutcome.ACKED, moment, 50.0, LoadReport(0.5, limit))
         run.lines.append(
-            f"told {limit}: rate {endpoint.rate_limiter.rate * 1000:.2f}, "
-            f"even part {endpoint.rate_limiter.busy_share * 1000:.2f}, "
-            f"of all {endpoint.rate_limiter.equal_share * 1000:.2f}"
+            f"reported {limit}: rate {endpoint.rate_limiter.rate * 1000:.2f}, "
+            f"busy share {endpoint.rate_limiter.busy_share * 1000:.2f}, "
+            f"equal share {endpoint.rate_limiter.equal_share * 1000:.2f}"
         )
-    run.assert_matches_trace("told_limit")
+    run.assert_matches_trace("reported_limit")
 
 
 def test_an_unlisted_limiter_is_unpaced_until_its_first_cut_and_never_starts_under_one_a_second():
@@ -52,7 +52,7 @@
 
     burst(SimulatedNode(ONE, answers, listed_rates="off"), range(1, 9)).run_until(
         9000.0
-    ).assert_matches_trace("unlisted")
+    ).assert_matches_trace("unlisted_rate")
 
 
 def test_events_share_a_call_and_its_booking():
--- a/tests/routing/test_retry_rules.py
+++ b/tests/routing/test_retry_rules.py
@@ -11,10 +11,10 @@
 @pytest.mark.parametrize(
     "name, stream, endpoints",
     [
-        ("maybe_idempotent", IDEMPOTENT, ONE),
-        ("maybe_non_idempotent", NON_IDEMPOTENT, ONE),
-        ("maybe_in_group", DEDUPLICATED._replace(deduplication_group="zone"), TWO),
-        ("maybe_anywhere", DEDUPLICATED, TWO),
+        ("may_have_run_idempotent", IDEMPOTENT, ONE),
+        ("may_have_run_non_idempotent", NON_IDEMPOTENT, ONE),
+        ("may_have_run_in_group", DEDUPLICATED._replace(deduplication_group="zone"), TWO),
+        ("may_have_run_anywhere", DEDUPLICATED, TWO),
     ],
 )
 def test_what_follows_a_send_that_may_have_run(name, stream, endpoints):
@@ -32,7 +32,7 @@
 
     streams = [DEDUPLICATED._replace(deduplication_group="zone")]
     burst(SimulatedNode(ONE, answers, stream_types=streams), (1,)).run_until(20000.0).assert_matches_trace(
-        "window"
+        "deduplication_window"
     )
 
 
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -74,9 +74,9 @@
     def schedule(self, moment, act, *args):
         heapq.heappush(self.fleet.todo, (moment, next(self.fleet.turn), self, act, args))
 
-    def end_attempt(self, ticket, endpoint, outcome, delay, told=0.0):
+    def end_attempt(self, ticket, endpoint, outcome, delay, retry_after_ms=0.0):
         if outcome != SendOutcome.CONNECTION_LIMIT:
-            super().end_attempt(ticket, endpoint, outcome, delay, told)
+            super().end_attempt(ticket, endpoint, outcome, delay, retry_after_ms)
             return
         # Known to sockets alone; the simulator's protocol has no code for it.
         event = self.session.in_flight.pop(ticket)
--- a/tests/support/simulated_node.py
+++ b/tests/support/simulated_node.py
@@ -60,9 +60,12 @@
         )
         self.session.hold(event, ticket)
 
-    def end_attempt(self, ticket, endpoint, outcome, delay, told=0.0):
+    def end_attempt(self, ticket, endpoint, outcome, delay, retry_after_ms=0.0):
         """End an attempt."""
-        self.say(f"{outcome} {ticket} at {endpoint}" + (f", told to wait {told:.0f}" if told else ""))
+        self.say(
+            f"{outcome} {ticket} at {endpoint}"
+            + (f", retry after {retry_after_ms:.0f}" if retry_after_ms else "")
+        )
         code = CODES[outcome]
         result = AttemptResult(
             instance=self.session.number,
@@ -72,7 +75,7 @@
             is_event_finished=code == 200,
             attempt=0,
             outcome_code=code,
-            retry_after_ms=told,
+            retry_after_ms=retry_after_ms,
             report_length=0,
         )
         self.session.record_attempt(result, self.now, self)
@@ -82,18 +85,19 @@
 
     # Commands of the session.
 
-    def send(self, _node, ticket, endpoint, allow):
-        self.say(f"send {ticket} -> {endpoint}, allow {allow:.0f}")
-        delay, outcome, *told = self.answers(ticket, endpoint, self.now) or (allow, SendOutcome.TIMED_OUT)
-        if delay >= allow:
-            delay, outcome, told = allow, SendOutcome.TIMED_OUT, ()
-        self.schedule(self.now + delay, self.end_attempt, ticket, endpoint, outcome, delay, *told)
+    def send(self, _node, ticket, endpoint, timeout_ms):
+        self.say(f"send {ticket} -> {endpoint}, time out after {timeout_ms:.0f}")
+        answer = self.answers(ticket, endpoint, self.now) or (timeout_ms, SendOutcome.TIMED_OUT)
+        delay, outcome, *retry_after = answer
+        if delay >= timeout_ms:
+            delay, outcome, retry_after = timeout_ms, SendOutcome.TIMED_OUT, ()
+        self.schedule(self.now + delay, self.end_attempt, ticket, endpoint, outcome, delay, *retry_after)
 
-    def reject(self, _node, ticket, come_back):
-        self.say(f"decline {ticket}, come back after {come_back:.0f}")
+    def reject(self, _node, ticket, retry_after_ms):
+        self.say(f"reject {ticket}, retry after {retry_after_ms:.0f}")
 
     def abandon(self, _node, ticket):
-        self.say(f"discard {ticket}")
+        self.say(f"abandon {ticket}")
 
     def probe(self, _node, endpoint):
         self.say(f"probe {endpoint}")
@@ -106,7 +110,7 @@
         self.say(f"close idle connections to {endpoint}")
 
     def watch_endpoint_list(self, _node):
-        self.say("ask for the list")
+        self.say("request the endpoint list")
 
     def schedule_wakeup(self, _node, delay, _label):
         self.schedule(self.now + delay, lambda: None)
