--- a/swiftthread/__init__.py
+++ b/swiftthread/__init__.py
@@ -1,1 +1,1 @@
-"""swiftthread: a dispatcher of notifications to outside receivers."""
+"""swiftthread: a delivery service for notifications to outside receivers."""
--- a/swiftthread/simulator/sessions.py
+++ b/swiftthread/simulator/sessions.py
@@ -52,7 +52,7 @@
     def submit(self, message: SubmitEvent, now: float) -> None:
         """Hold a new event, to be decided at the end of the batch."""
         if message.ticket in self.pending:
-            raise ProtocolError(f"ticket {message.ticket} was handed in twice")
+            raise ProtocolError(f"ticket {message.ticket} was submitted twice")
         event = self.router.add_event(
             now,
             message.stream_type,
