--- a/swiftthread/client/discovery_client.py
+++ b/swiftthread/client/discovery_client.py
@@ -31,7 +31,7 @@
         buffers: BufferPool,
         kind_numbers: Mapping[str, int],
         zone_numbers: Mapping[str, int],
-        quiet_ms: float,
+        idle_timeout_ms: float,
         connect_timeout_ms: float,
     ) -> None:
         """Construct the client.
@@ -41,12 +41,12 @@
             buffers: Buffers for reads.
             kind_numbers: Number by name of the endpoint kinds in the settings.
             zone_numbers: Number by name of the zones in the settings.
-            quiet_ms: How long a watch may go without a whole line, or list, before it is given up.
+            idle_timeout_ms: How long a watch may go without a whole line, or list, before it is given up.
             connect_timeout_ms: How long a connect may take.
         """
         self.address = address
         self.buffers = buffers
-        self.quiet_ms = quiet_ms
+        self.idle_timeout_ms = idle_timeout_ms
         self.connect_timeout_ms = connect_timeout_ms
         self.endpoint_list = EndpointList(kind_numbers, zone_numbers)
         self.watch_scope = anyio.CancelScope()
@@ -113,7 +113,8 @@
         assembler = JsonAssembler()
         while True:
             page = None
-            with anyio.fail_after(self.quiet_ms / 1000.0):  # an object that does not end is silence, too
+            # An object that does not end is silence, too.
+            with anyio.fail_after(self.idle_timeout_ms / 1000.0):
                 while (line := await lines.read_line()) is not None:
                     page = assembler.add(line)
                     if page is not None or not assembler.has_begun:
--- a/swiftthread/configuration/node_config.py
+++ b/swiftthread/configuration/node_config.py
@@ -46,7 +46,7 @@
     seed: int
     limits: Mapping[str, Any]
     """What the machine grants: `sockets`, `disk_mb`, `memory_mb`."""
-    known_list: dict[str, Any] | None
+    initial_list: dict[str, Any] | None
     """Endpoint list in discovery's form, to start with; None where the watch is to tell the first."""
     settings: Settings
     names: SettingNames
@@ -86,7 +86,7 @@
         report_fields = read_report_fields(settings_document)
         settings_warnings = list(doubtful_settings(settings_document))
         names = read_names(settings_document)
-    known_list = document.get("known")
+    initial_list = document.get("known")
     return NodeConfig(
         name=name,
         listen=listen,
@@ -94,7 +94,7 @@
         state_directory=state_directory,
         seed=seed,
         limits=document.get("limits") or {},
-        known_list=known_list if isinstance(known_list, dict) else None,
+        initial_list=initial_list if isinstance(initial_list, dict) else None,
         settings=settings,
         names=names,
         report_fields=report_fields,
--- a/swiftthread/configuration/settings_reader.py
+++ b/swiftthread/configuration/settings_reader.py
@@ -83,8 +83,8 @@
         "overload_multiple": obligations.get("FallMultiple"),
         "cold_capacity_share": obligations.get("ColdFrom"),
         "warm_up_ms": _to_ms(obligations.get("WarmUp")),
-        "ordering_rest_ms": _to_ms(obligations.get("KeyRest")),
-        "tick_ms": _to_ms(document.get("Period")),
+        "ordering_pause_ms": _to_ms(obligations.get("KeyRest")),
+        "scheduling_interval_ms": _to_ms(document.get("Period")),
         "connect_timeout_ms": _to_ms(permissions.get("ConnectTimeout")),
         "keepalive_ms": _to_ms(keepalive_s) if keepalive_s else None,
     }
--- a/swiftthread/routing/call_slots.py
+++ b/swiftthread/routing/call_slots.py
@@ -24,7 +24,7 @@
         """Whether events may wait for a slot that a call of any destination holds."""
         return self.in_flight >= SCARCE_SLOTS_SHARE * self.max_calls
 
-    def are_denied_to(self, destination: Destination) -> bool:
+    def are_unavailable_to(self, destination: Destination) -> bool:
         """Whether a destination gets no slot until some call ends.
 
         Keeps a destination that hangs from taking the slots of all others before it counts as silent.
--- a/swiftthread/routing/endpoint.py
+++ b/swiftthread/routing/endpoint.py
@@ -47,17 +47,17 @@
     """One entry a stream type, removed by an ack."""
 
     is_down: bool = False
-    is_silent: bool = False
+    is_unresponsive: bool = False
     """Whether the last failure was a call without an answer."""
-    has_probe_in_flight: bool = False
-    has_passed_probe: bool = False
-    warming_since: float = -math.inf
+    has_health_check_in_flight: bool = False
+    has_passed_health_check: bool = False
+    warm_up_began_at: float = -math.inf
 
-    consecutive_full_tables: int = 0
+    consecutive_rejected_connections: int = 0
     """Calls in a row that were rejected with their connection."""
-    tables_full_since: float = -math.inf
+    connections_rejected_since: float = -math.inf
     """When the first of them was."""
-    table_full_at: float = -math.inf
+    connection_limit_reached_at: float = -math.inf
     """When it last looked short of room for connections."""
     retry_at: float = -math.inf
     """No call before this moment, after a full connection table; an unpaced endpoint has no other pause."""
--- a/swiftthread/routing/endpoint_list.py
+++ b/swiftthread/routing/endpoint_list.py
@@ -147,7 +147,7 @@
             endpoint.last_outcome_at + KNOWN_WARM_UPS * self.recovery.warm_up_ms,
             endpoint.rate_limiter.retry_after_until,
         )
-        return not endpoint.calls_in_flight and not endpoint.has_probe_in_flight and now > known_until
+        return not endpoint.calls_in_flight and not endpoint.has_health_check_in_flight and now > known_until
 
     @staticmethod
     def _drain(endpoint: Endpoint) -> None:
--- a/swiftthread/routing/health.py
+++ b/swiftthread/routing/health.py
@@ -111,28 +111,28 @@
 
         Hurts where a table stays full for seconds under ordinary load.
         """
-        endpoint.table_full_at = now
+        endpoint.connection_limit_reached_at = now
         endpoint.retry_at = now + MIN_TRIAL_PAUSE_MS * self.jitter.uniform(*FULL_TABLE_PAUSE_FACTORS)
-        if not endpoint.consecutive_full_tables:
-            endpoint.tables_full_since = now
-        endpoint.consecutive_full_tables += 1
+        if not endpoint.consecutive_rejected_connections:
+            endpoint.connections_rejected_since = now
+        endpoint.consecutive_rejected_connections += 1
         # An endpoint that is out may reject nothing but connections, and nodes that come again and again at a
         # fixed pause are all there when it returns.
-        rejected_ms = now - endpoint.tables_full_since
+        rejected_ms = now - endpoint.connections_rejected_since
         if not endpoint.is_down and min(rejected_ms, self._unacked_ms(endpoint, now)) > FULL_TABLE_OUTAGE_MS:
             endpoint.consecutive_failures = max(endpoint.consecutive_failures, 1)
             self._mark_down(endpoint, SendOutcome.CONNECTION_LIMIT, now)
 
     def _rejected_connections_long(self, endpoint: Endpoint, now: float) -> bool:
         """Whether two connections or more were rejected in a row, and nothing acked for long."""
-        is_row = endpoint.consecutive_full_tables >= MAX_UNACKED_FAILURES
+        is_row = endpoint.consecutive_rejected_connections >= MAX_UNACKED_FAILURES
         return is_row and self._has_destination_long_acked_nothing(endpoint, now)
 
     def _record_ack(self, endpoint: Endpoint, now: float, latency_ms: float) -> None:
         may_return = endpoint.is_down or self._rejected_connections_long(endpoint, now)
         endpoint.acked_at = now
         endpoint.consecutive_failures = 0
-        endpoint.consecutive_full_tables = 0
+        endpoint.consecutive_rejected_connections = 0
         endpoint.failure_ratio = endpoint.failure_ratio * (1 - FAILURE_SMOOTHING)
         if may_return:
             self._begin_warm_up(endpoint, now)
@@ -141,32 +141,32 @@
     def _begin_warm_up(self, endpoint: Endpoint, now: float) -> None:
         limiter = endpoint.rate_limiter
         trial_pause_ms = self.recovery.mean_trial_pause_ms(endpoint, now)
-        calls_ahead = max(0.0, limiter.next_cold_slot_at - now) / trial_pause_ms
+        calls_ahead = max(0.0, limiter.next_recovery_slot_at - now) / trial_pause_ms
         # It came back some time since the last failure: in the mean over all nodes, half way. Nodes that had
         # no event to try it with would all count from long before it was back, so a pause ago at most.
         out_until = max(
             endpoint.failed_at, limiter.outage_began_at, limiter.retry_after_until, now - trial_pause_ms
         )
         endpoint.is_down = False
-        endpoint.is_silent = False
-        endpoint.warming_since = (out_until + now) / 2
+        endpoint.is_unresponsive = False
+        endpoint.warm_up_began_at = (out_until + now) / 2
         self.down_endpoints.pop(endpoint, None)
         endpoint.failure_ratio = min(endpoint.failure_ratio, MAX_FAILURE_RATIO / 2)
         # What trials and health checks have booked stays booked, at the pace of the warm-up.
-        limiter.set_next_cold_slot(now + self.recovery.pause_ms(endpoint, now, calls_ahead))
+        limiter.set_next_recovery_slot(now + self.recovery.pause_ms(endpoint, now, calls_ahead))
         self.observer.endpoint_recovering(
             EndpointRecovering(
                 endpoint.endpoint_id,
                 endpoint.destination.number,
-                warming_ms=now - endpoint.warming_since,
-                next_call_ms=limiter.next_cold_slot_at - now,
+                warm_up_elapsed_ms=now - endpoint.warm_up_began_at,
+                next_call_ms=limiter.next_recovery_slot_at - now,
             )
         )
 
     def _record_error(self, endpoint: Endpoint, outcome: SendOutcome, now: float, latency_ms: float) -> None:
         if outcome == SendOutcome.UNREACHABLE and latency_ms < self.prompt_connect_ms:
             # A connect that fails at once, maybe while others are answered, can be a full connection table.
-            endpoint.table_full_at = now
+            endpoint.connection_limit_reached_at = now
             if endpoint.calls_in_flight and now - endpoint.acked_at < RECENT_ACK_MS:
                 return
         endpoint.rate_limiter.record_failure()
@@ -180,8 +180,8 @@
             endpoint.failing_since = now
         endpoint.consecutive_failures += 1
         endpoint.failed_at = now
-        endpoint.is_silent = outcome == SendOutcome.TIMED_OUT
-        endpoint.has_passed_probe = False
+        endpoint.is_unresponsive = outcome == SendOutcome.TIMED_OUT
+        endpoint.has_passed_health_check = False
         if endpoint.is_down:
             return
         if (
@@ -199,7 +199,7 @@
         # Most nodes meet an outage with a call or two. On the return the sum of their calls counts: those
         # that go on at their usual rate push the destination over, however well the others slow down.
         failures = sum(
-            other.consecutive_failures + other.consecutive_full_tables
+            other.consecutive_failures + other.consecutive_rejected_connections
             for other in endpoint.destination.endpoints
         )
         is_row = outcome != SendOutcome.RESET and failures >= MAX_UNACKED_FAILURES
@@ -279,7 +279,7 @@
                 last_outcome=outcome,
                 consecutive_failures=endpoint.consecutive_failures,
                 unacked_ms=now - endpoint.acked_at,
-                next_trial_ms=endpoint.rate_limiter.next_cold_slot_at - now,
+                next_trial_ms=endpoint.rate_limiter.next_recovery_slot_at - now,
             )
         )
 
@@ -296,7 +296,9 @@
     def _schedule_first_trial(self, endpoint: Endpoint, now: float) -> None:
         limiter = endpoint.rate_limiter
         pause_ms = self.recovery.pause_ms(endpoint, now) * self.jitter.uniform(0.0, 1.0)
-        limiter.set_next_cold_slot(max(now, limiter.retry_after_until) + max(MIN_TRIAL_PAUSE_MS, pause_ms))
+        limiter.set_next_recovery_slot(
+            max(now, limiter.retry_after_until) + max(MIN_TRIAL_PAUSE_MS, pause_ms)
+        )
 
     def _is_slow_everywhere(self) -> bool:
         """Whether latency has risen at more than half of the limiters that have a known one."""
--- a/swiftthread/routing/health_checks.py
+++ b/swiftthread/routing/health_checks.py
@@ -20,31 +20,33 @@
         self.health = health
         self.recovery = recovery
 
-    def must_pass_first(self, endpoint: Endpoint) -> bool:
+    def must_pass_health_check(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint gets no event before a health check."""
-        return self.may_send and endpoint.is_silent and not endpoint.has_passed_probe
+        return self.may_send and endpoint.is_unresponsive and not endpoint.has_passed_health_check
 
-    def start_due(self, now: float) -> list[Endpoint]:
+    def start_due_checks(self, now: float) -> list[Endpoint]:
         """The endpoints to check now; each counts as being checked from here."""
         due = [
             endpoint
             for endpoint in self._wanted()
-            if endpoint.rate_limiter.next_cold_slot_at <= now >= endpoint.rate_limiter.retry_after_until
+            if endpoint.rate_limiter.next_recovery_slot_at <= now >= endpoint.rate_limiter.retry_after_until
         ]
         for endpoint in due:
-            endpoint.has_probe_in_flight = True
-            endpoint.rate_limiter.set_next_cold_slot(now + self.recovery.pause_ms(endpoint, now))
+            endpoint.has_health_check_in_flight = True
+            endpoint.rate_limiter.set_next_recovery_slot(now + self.recovery.pause_ms(endpoint, now))
         return due
 
     def record(self, endpoint: Endpoint, outcome: SendOutcome) -> None:
         """Learn from the outcome of a health check; one that was not in flight any more says nothing."""
-        endpoint.has_passed_probe = endpoint.has_probe_in_flight and outcome == SendOutcome.ACKED
-        endpoint.has_probe_in_flight = False
+        endpoint.has_passed_health_check = (
+            endpoint.has_health_check_in_flight and outcome == SendOutcome.ACKED
+        )
+        endpoint.has_health_check_in_flight = False
 
     def next_at(self, now: float) -> float:
         """The next moment after now at which a health check is due; inf when none is."""
         moments = (
-            max(endpoint.rate_limiter.next_cold_slot_at, endpoint.rate_limiter.retry_after_until)
+            max(endpoint.rate_limiter.next_recovery_slot_at, endpoint.rate_limiter.retry_after_until)
             for endpoint in self._wanted()
         )
         return min((moment for moment in moments if moment > now), default=math.inf)
@@ -57,8 +59,12 @@
         return (
             self.may_send
             and endpoint.is_down
-            and endpoint.is_silent
+            and endpoint.is_unresponsive
             and endpoint.is_ready
             and endpoint.destination.pending_count > 0
-            and not (endpoint.has_passed_probe or endpoint.has_probe_in_flight or endpoint.calls_in_flight)
+            and not (
+                endpoint.has_passed_health_check
+                or endpoint.has_health_check_in_flight
+                or endpoint.calls_in_flight
+            )
         )
--- a/swiftthread/routing/idle_connections.py
+++ b/swiftthread/routing/idle_connections.py
@@ -21,10 +21,10 @@
     def __init__(self, settings: Settings) -> None:
         self.has_keepalive = settings.keepalive_ms < math.inf
         self.newly_idle: dict[Endpoint, bool] = {}
-        """Endpoints at which a call has ended; emptied each tick."""
+        """Endpoints at which a call has ended; emptied each scheduling cycle."""
 
-    def note_call_ended(self, endpoint: Endpoint) -> None:
-        """Look at the connections to this endpoint at the end of the tick."""
+    def record_call_ended(self, endpoint: Endpoint) -> None:
+        """Look at the connections to this endpoint at the end of the scheduling cycle."""
         self.newly_idle[endpoint] = True
 
     def take_disconnectable(self, now: float) -> list[Endpoint]:
@@ -39,7 +39,10 @@
             endpoint
             for endpoint in ended
             if not endpoint.calls_in_flight
-            and (now - endpoint.table_full_at < FULL_TABLE_MS or self._is_mostly_idle(endpoint, now))
+            and (
+                now - endpoint.connection_limit_reached_at < FULL_TABLE_MS
+                or self._is_mostly_idle(endpoint, now)
+            )
         ]
 
     def _is_mostly_idle(self, endpoint: Endpoint, now: float) -> bool:
@@ -49,5 +52,5 @@
         """
         limiter = endpoint.rate_limiter
         use_ms = max(limiter.recent_latency_ms.value, MIN_CONNECTION_USE_MS)
-        use = limiter.usual_rate.at(now) * use_ms
+        use = limiter.average_ack_rate.at(now) * use_ms
         return self.has_keepalive and not endpoint.destination.pending_count and use <= MIN_CONNECTION_USE
--- a/swiftthread/routing/messages.py
+++ b/swiftthread/routing/messages.py
@@ -71,10 +71,10 @@
 
 
 class NextCheck(NamedTuple):
-    """Ask again at `at` (ms), or before it as soon as any attempt of this node ends, if `or_outcome`."""
+    """Ask again at `at` (ms), or before it once any attempt of this node ends, if `or_after_outcome`."""
 
     at: float
-    or_outcome: bool
+    or_after_outcome: bool
 
 
 class LoadReport(NamedTuple):
--- a/swiftthread/routing/observer.py
+++ b/swiftthread/routing/observer.py
@@ -27,7 +27,7 @@
 
     endpoint_id: str | int
     destination_number: int
-    warming_ms: float
+    warm_up_elapsed_ms: float
     """For how long it is taken to have been back already."""
     next_call_ms: float
     """Until the next call may go."""
--- a/swiftthread/routing/ordering.py
+++ b/swiftthread/routing/ordering.py
@@ -37,7 +37,7 @@
             del self.queues[key]
         self.queues.setdefault(event.ordering_key, OrderingQueue()).events.append(event)
 
-    def turn_at(self, event: Event, now: float) -> float:
+    def may_send_at(self, event: Event, now: float) -> float:
         """When it is this event's turn: `now`, a later moment, or inf: after those before it."""
         if not event.ordering_key:
             return now
@@ -53,7 +53,7 @@
         queue = self.queues.get(ordering_key)
         return queue.events[0] if queue and queue.events else None
 
-    def rest(self, ordering_key: Hashable, now: float) -> None:
+    def pause(self, ordering_key: Hashable, now: float) -> None:
         """Hold the next event of a key back after an attempt that may still run."""
         self.queues[ordering_key].rests_until = now + self.rest_ms
 
--- a/swiftthread/routing/rate_limiter.py
+++ b/swiftthread/routing/rate_limiter.py
@@ -27,7 +27,7 @@
 # x listed rate: no node needs more than all of it, and the list may be somewhat low.
 MAX_LISTED_MULTIPLE = 1.5
 # A rejection, a run of failures or risen latency halves the rate; a clean span doubles it.
-CUT_FACTOR = 0.5
+REDUCTION_FACTOR = 0.5
 # x target rate: what a rejection leaves of the rate that clean spans lead back to.
 TARGET_KEPT = 0.9
 # ms between two cuts, and of a clean span that doubles the rate.
@@ -42,7 +42,7 @@
 ASSUMED_RATE_PER_MS = 0.004
 # Emission intervals by which a call may be early.
 BURST_TOLERANCE = 0.3
-# ms past its moment in which a slot counts as kept; a few ticks of the caller.
+# ms past its moment in which a slot counts as kept; a few scheduling cycles of the caller.
 SLOT_SLACK_MS = 20.0
 # Emission intervals that a call costs.
 CALL_COST = 1.0
@@ -59,15 +59,15 @@
 # ms: latency assumed before the first was seen.
 INITIAL_LATENCY_MS = 350.0
 # ms without an outcome after which an endpoint may be silent; longer than a brief stall.
-MIN_SILENCE_MS = 700.0
+MIN_UNRESPONSIVE_MS = 700.0
 # x usual latency, the same; the longer of both holds.
-SILENCE_LATENCIES = 4.0
+UNRESPONSIVE_LATENCIES = 4.0
 # ms: span of the smoothed rate of acked calls, this node's usual share.
-USUAL_RATE_SPAN_MS = 10000.0
+AVERAGE_ACK_RATE_WINDOW_MS = 10000.0
 # Share of the latency objective (mean by priority): nodes with an event within it share a rate.
-BUSY_SPAN_SHARE = 0.33
+ACTIVITY_WINDOW_SHARE = 0.33
 # ms: that span where there are no stream types.
-DEFAULT_BUSY_SPAN_MS = 1000.0
+DEFAULT_ACTIVITY_WINDOW_MS = 1000.0
 # ms: the longest wait where there are no stream types.
 DEFAULT_LONGEST_WAIT_MS = 1000.0
 # x held limit: a reported limit below that is a fall, not noise.
@@ -83,7 +83,7 @@
     node_count: int
     confidence: float
     """Share of a listed rate that can be relied on, 0 to 1."""
-    busy_span_ms: float
+    activity_window_ms: float
     """Nodes that have an event for a limiter within this span count as busy."""
     longest_wait_ms: float
     """For how long an event may wait for a limiter."""
@@ -99,7 +99,9 @@
         return cls(
             node_count=max(1, settings.node_count),
             confidence=ROUGH_LIST_CONFIDENCE if settings.listed_rates == ListedRates.ROUGH else 1.0,
-            busy_span_ms=BUSY_SPAN_SHARE * weighted_objective_ms / weight if weight else DEFAULT_BUSY_SPAN_MS,
+            activity_window_ms=ACTIVITY_WINDOW_SHARE * weighted_objective_ms / weight
+            if weight
+            else DEFAULT_ACTIVITY_WINDOW_MS,
             longest_wait_ms=longest_wait_ms(settings),
         )
 
@@ -111,7 +113,7 @@
 
 @dataclass(slots=True)
 class SharedCall:
-    """A call that further events may join in the tick in which it was made."""
+    """A call that further events may join in the scheduling cycle in which it was made."""
 
     call: Call
     made_at: float
@@ -122,22 +124,22 @@
     """One schedule of calls: that of a destination, or of a route where routes are kept apart."""
 
     __slots__ = (
-        "busy_share",
+        "active_share",
         "consecutive_failures",
         "demand_at",
         "equal_share",
-        "has_acked_since_cut",
+        "has_acked_since_reduction",
         "listed_rate",
         "listed_rate_confidence",
         "lowest_latency_ms",
-        "next_cold_slot_at",
+        "next_recovery_slot_at",
         "next_slot_at",
         "outage_began_at",
         "rate",
         "rate_as_listed",
         "rate_before_outage",
         "rate_changed_at",
-        "rate_cut_at",
+        "rate_reduced_at",
         "recent_acks",
         "recent_latency_ms",
         "retry_after_until",
@@ -145,7 +147,7 @@
         "sharing",
         "spare_share",
         "target_rate",
-        "usual_rate",
+        "average_ack_rate",
         "waiting_share",
     )
 
@@ -160,7 +162,7 @@
         self.rate_as_listed: float | None = None
         """The limit as the endpoint list names it."""
         self.listed_rate_confidence = sharing.confidence
-        self.busy_share: float | None = None
+        self.active_share: float | None = None
         """This node's share among the nodes that are busy here; None when no rate is listed."""
         self.equal_share = 0.0
         """Its share among all nodes."""
@@ -169,28 +171,28 @@
         if listed_rate:
             self.set_listed_rate(listed_rate, sharing.confidence)
 
-        self.rate: float | None = self.busy_share
+        self.rate: float | None = self.active_share
         """The present rate; None while unpaced, until the first cut."""
-        self.target_rate: float | None = self.busy_share
+        self.target_rate: float | None = self.active_share
         """The rate that clean spans lead back to."""
         self.rate_changed_at = -math.inf
-        self.rate_cut_at = -math.inf
+        self.rate_reduced_at = -math.inf
         self.demand_at = -math.inf
         """When an event last waited for a slot."""
         self.spare_share = 1.0
         """Share of the limit that is left, by the last load report."""
 
         self.recent_acks = RecentCount(ADJUSTMENT_MS)
-        self.usual_rate = SmoothedRate(USUAL_RATE_SPAN_MS)
+        self.average_ack_rate = SmoothedRate(AVERAGE_ACK_RATE_WINDOW_MS)
         self.recent_latency_ms = SlidingMedian(LATENCY_SAMPLES, INITIAL_LATENCY_MS)
         self.lowest_latency_ms: float | None = None
         self.consecutive_failures = 0
-        self.has_acked_since_cut = True
+        self.has_acked_since_reduction = True
 
         self.rate_before_outage = 0.0
         """Usual rate of acked calls when the last outage began."""
         self.outage_began_at = -math.inf
-        self.next_cold_slot_at = -math.inf
+        self.next_recovery_slot_at = -math.inf
         """The next trial, probe or call while an endpoint warms up."""
 
     def set_listed_rate(self, listed_rate: float, confidence: float) -> None:
@@ -198,7 +200,7 @@
         self.listed_rate = listed_rate
         self.listed_rate_confidence = confidence
         self.equal_share = listed_rate / self.sharing.node_count
-        self.busy_share = self.share_among_nodes(self.sharing.busy_span_ms)
+        self.active_share = self.share_among_nodes(self.sharing.activity_window_ms)
         self.waiting_share = self.share_among_nodes(self.sharing.longest_wait_ms)
 
     def update_from_list(self, listed_rate: float | None) -> None:
@@ -211,17 +213,17 @@
         """Keep the rate that a list names, without holding it true."""
         self.rate_as_listed = listed_rate or self.rate_as_listed
 
-    def share_among_nodes(self, span_ms: float, demand_rate: float | None = None) -> float:
+    def share_among_nodes(self, window_ms: float, demand_rate: float | None = None) -> float:
         """The listed rate by the nodes that can be expected to have an event here in a span.
 
         Args:
-            span_ms: The span.
+            window_ms: The span.
             demand_rate: Events per ms that come here; None is the listed rate, at the limit.
         """
         assert self.listed_rate is not None
         nodes = self.sharing.node_count
         demand_rate = demand_rate or self.listed_rate
-        return self.listed_rate / max(1.0, nodes * -math.expm1(-demand_rate * span_ms / nodes))
+        return self.listed_rate / max(1.0, nodes * -math.expm1(-demand_rate * window_ms / nodes))
 
     def ready_at(self) -> float:
         """When the next call may go."""
@@ -230,33 +232,33 @@
         assert self.target_rate is not None
         return max(self.next_slot_at - BURST_TOLERANCE / self.target_rate, self.retry_after_until)
 
-    def book(self, now: float, cost: float) -> None:
+    def reserve(self, now: float, cost: float) -> None:
         """Move the next slot on by the emission interval times the cost of what is sent."""
         if self.rate:
             is_kept = 0 <= now - self.next_slot_at <= SLOT_SLACK_MS
             slot = self.next_slot_at if is_kept else max(now, self.next_slot_at)
             self.next_slot_at = slot + cost / self.rate
 
-    def give_back_slot(self) -> None:
+    def release_slot(self) -> None:
         """Undo the booking of a call that reached nobody."""
         if self.rate:
             self.next_slot_at -= 1.0 / self.rate
 
-    def note_demand(self, now: float) -> None:
+    def record_demand(self, now: float) -> None:
         """Record that an event waits for a slot: without demand the rate does not grow."""
         self.demand_at = now
 
     def offer_shared_call(self, call: Call, now: float, places: int) -> None:
-        """Let so many further events join this call in this tick."""
+        """Let so many further events join this call in this scheduling cycle."""
         self.shared_call = SharedCall(call, now, places)
 
     def has_joinable_call(self, now: float) -> bool:
-        """Whether a call of this tick takes further events."""
+        """Whether a call of this scheduling cycle takes further events."""
         shared = self.shared_call
         return shared is not None and shared.made_at == now and shared.places_left > 0
 
     def has_joinable_call_to(self, endpoint: Endpoint, now: float) -> bool:
-        """Whether a call of this tick to this endpoint takes further events."""
+        """Whether a call of this scheduling cycle to this endpoint takes further events."""
         shared = self.shared_call
         return (
             shared is not None
@@ -266,7 +268,7 @@
         )
 
     def join_shared_call(self) -> Call:
-        """Take a place in the call of this tick."""
+        """Take a place in the call of this scheduling cycle."""
         assert self.shared_call is not None
         self.shared_call.places_left -= 1
         return self.shared_call.call
@@ -276,7 +278,7 @@
         if until <= self.retry_after_until:
             return
         self.retry_after_until = until
-        if self.busy_share and self.rate:
+        if self.active_share and self.rate:
             # All that were told come back together, and rejected calls may use up the limit: this node's
             # share among those that can have an event waiting here.
             self.rate = min(self.rate, self.waiting_share * self.listed_rate_confidence)
@@ -309,29 +311,29 @@
         if was_rejected:
             self.target_rate = max(min(self.target_rate, max(self.rate, floor)) * TARGET_KEPT, floor)
         former_rate = self.rate
-        self.rate = max(self.rate * CUT_FACTOR, floor * CUT_FACTOR)
+        self.rate = max(self.rate * REDUCTION_FACTOR, floor * REDUCTION_FACTOR)
         self.rate_changed_at = now
-        self.rate_cut_at = now
-        self.has_acked_since_cut = False
+        self.rate_reduced_at = now
+        self.has_acked_since_reduction = False
         # What was booked is booked anew at the lower rate.
         self.next_slot_at = max(now, self.next_slot_at) + 1.0 / self.rate - 1.0 / former_rate
 
     def _start_pacing(self, now: float) -> None:
-        self.rate = max(MIN_RATE_PER_MS / CUT_FACTOR, self.recent_acks.count(now) / ADJUSTMENT_MS)
+        self.rate = max(MIN_RATE_PER_MS / REDUCTION_FACTOR, self.recent_acks.count(now) / ADJUSTMENT_MS)
         self.target_rate = self.rate
         self.next_slot_at = now + 1.0 / self.rate  # nothing was booked while it was unpaced
 
     def _cut_floor(self) -> float:
         """The equal share, unless nothing was served since the last cut: then the list is wrong."""
-        if self.busy_share and self.has_acked_since_cut:
+        if self.active_share and self.has_acked_since_reduction:
             return self.equal_share * self.listed_rate_confidence
         return MIN_UNSERVED_RATE_PER_MS
 
     def record_ack(self, now: float, latency_ms: float, is_slow_everywhere: Callable[[], bool]) -> None:
         """Learn from an acked call: its latency, and that the present rate is served."""
         self.consecutive_failures = 0
-        self.has_acked_since_cut = True
-        self.usual_rate.add(now)
+        self.has_acked_since_reduction = True
+        self.average_ack_rate.add(now)
         self.recent_acks.add(now)
         if self.recent_latency_ms.add(latency_ms):
             self._compare_latency(now, is_slow_everywhere)
@@ -355,21 +357,21 @@
         assert self.target_rate is not None
         if self.rate < self.target_rate:
             if now - self.rate_changed_at >= ADJUSTMENT_MS:
-                self.rate = min(self.target_rate, self.rate / CUT_FACTOR)
+                self.rate = min(self.target_rate, self.rate / REDUCTION_FACTOR)
                 self.rate_changed_at = now
         elif now - self.demand_at < ADJUSTMENT_MS:
             # Nobody knows an unlisted rate: it grows by a share of itself, faster the longer nothing was cut.
-            share = self.busy_share or self.target_rate * min(
-                MAX_UNLISTED_GROWTH, (now - self.rate_cut_at) / UNLISTED_GROWTH_MS
+            share = self.active_share or self.target_rate * min(
+                MAX_UNLISTED_GROWTH, (now - self.rate_reduced_at) / UNLISTED_GROWTH_MS
             )
             step = GROWTH_SHARE_PER_S * self.spare_share * share / (self.rate * 1000.0)
             highest = MAX_LISTED_MULTIPLE * (self.listed_rate or math.inf)
             self.rate = max(self.rate, min(self.rate + step, highest))
             self.target_rate = self.rate
 
-    def silence_threshold_ms(self) -> float:
+    def unresponsive_after_ms(self) -> float:
         """Ms without an outcome after which calls in flight are more than slow."""
-        return max(MIN_SILENCE_MS, SILENCE_LATENCIES * self.recent_latency_ms.value)
+        return max(MIN_UNRESPONSIVE_MS, UNRESPONSIVE_LATENCIES * self.recent_latency_ms.value)
 
     def latency_has_risen(self) -> bool:
         """Whether the median latency is well above its lowest."""
@@ -381,8 +383,8 @@
     def begin_outage(self, began_at: float, served_until: float) -> None:
         """Keep when an outage began, and the rate that was acked usually up to then."""
         self.outage_began_at = began_at
-        self.rate_before_outage = self.usual_rate.at(served_until)
+        self.rate_before_outage = self.average_ack_rate.at(served_until)
 
-    def set_next_cold_slot(self, at: float) -> None:
+    def set_next_recovery_slot(self, at: float) -> None:
         """Allow the next trial, probe or call while an endpoint warms up from this moment on."""
-        self.next_cold_slot_at = at
+        self.next_recovery_slot_at = at
--- a/swiftthread/routing/recovery.py
+++ b/swiftthread/routing/recovery.py
@@ -30,13 +30,13 @@
 
     def is_warming(self, endpoint: Endpoint, now: float) -> bool:
         """Whether the endpoint came back less than a warm-up ago."""
-        return now - endpoint.warming_since < self.warm_up_ms
+        return now - endpoint.warm_up_began_at < self.warm_up_ms
 
     def warm_up_ends_at(self, endpoint: Endpoint) -> float:
         """When the endpoint has all of its capacity again."""
-        return endpoint.warming_since + self.warm_up_ms
+        return endpoint.warm_up_began_at + self.warm_up_ms
 
-    def book(self, endpoint: Endpoint, cost: float, now: float) -> None:
+    def reserve(self, endpoint: Endpoint, cost: float, now: float) -> None:
         """Put the next cold slot off for a call, if the endpoint is down or warming up."""
         if not endpoint.is_down and not self.is_warming(endpoint, now):
             return
@@ -44,9 +44,9 @@
         pause_ms = self.pause_ms(endpoint, now, cost)
         if endpoint.is_untried_while_down:
             # It waited for no slot, so it takes none; the next call comes a pause after it all the same.
-            limiter.set_next_cold_slot(max(limiter.next_cold_slot_at, now + pause_ms))
+            limiter.set_next_recovery_slot(max(limiter.next_recovery_slot_at, now + pause_ms))
         else:
-            limiter.set_next_cold_slot(max(now, limiter.next_cold_slot_at) + pause_ms)
+            limiter.set_next_recovery_slot(max(now, limiter.next_recovery_slot_at) + pause_ms)
 
     def pause_ms(self, endpoint: Endpoint, now: float, calls: float = 1.0) -> float:
         """Ms that so many calls to a cold endpoint take of its schedule. Draws a random factor.
@@ -74,7 +74,7 @@
         """Share of its capacity that the endpoint has now."""
         if endpoint.is_down:
             return self.cold_capacity_share
-        return self.cold_capacity_share + self.growth_per_ms * (now - endpoint.warming_since)
+        return self.cold_capacity_share + self.growth_per_ms * (now - endpoint.warm_up_began_at)
 
     @staticmethod
     def _demand_rate(endpoint: Endpoint) -> float:
@@ -86,8 +86,8 @@
         """Ms between two calls of this node, were the endpoint warm."""
         limiter = endpoint.rate_limiter
         if limiter.listed_rate:
-            span_ms = max(limiter.sharing.busy_span_ms, now - limiter.outage_began_at)
-            even_share = limiter.share_among_nodes(span_ms, self._demand_rate(endpoint))
+            window_ms = max(limiter.sharing.activity_window_ms, now - limiter.outage_began_at)
+            even_share = limiter.share_among_nodes(window_ms, self._demand_rate(endpoint))
         else:
             even_share = limiter.rate_before_outage or MIN_RATE_PER_MS
         rate = limiter.rate_before_outage + limiter.listed_rate_confidence * even_share
--- a/swiftthread/routing/retry_rules.py
+++ b/swiftthread/routing/retry_rules.py
@@ -9,14 +9,14 @@
 # ms before a bound at which an event is answered, at least.
 MIN_ANSWER_MARGIN_MS = 12.0
 # Turns of the caller before such a bound: one may come late.
-ANSWER_MARGIN_TICKS = 2
+ANSWER_MARGIN_CYCLES = 2
 # Groups of more than a single endpoint.
 KNOWN_GROUPS = (DeduplicationGroup.ALL, DeduplicationGroup.ZONE)
 
 
 def answer_margin_ms(settings: Settings) -> float:
     """Ms before a bound of an event at which it is answered at the latest."""
-    return max(MIN_ANSWER_MARGIN_MS, ANSWER_MARGIN_TICKS * settings.tick_ms)
+    return max(MIN_ANSWER_MARGIN_MS, ANSWER_MARGIN_CYCLES * settings.scheduling_interval_ms)
 
 
 def deduplication_group(event: Event, endpoint: Endpoint) -> GroupId:
@@ -68,7 +68,7 @@
             last = min(last, window_ends_at - self.answer_margin_ms)
         return last
 
-    def is_spent(self, event: Event, now: float) -> bool:
+    def is_exhausted(self, event: Event, now: float) -> bool:
         """Whether no further attempt may follow."""
         return (
             now >= self.give_up_at(event)
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -1,12 +1,12 @@
 """Every decision of swiftthread, for one delivery node that sees only its own traffic.
 
 A caller builds one `Router`, hands in events (`add_event`) and what it learns (`apply_endpoint_list`,
-`list_request_failed`, `withdraw`, `record_probe`), puts the events that may be decided in order
+`list_request_failed`, `withdraw`, `record_health_check`), puts the events that may be decided in order
 (`sort_by_urgency`), and makes three calls: `decide` (a `Send`, `Defer`, `Reject` or `Abandon`),
 `record_outcome` (what an outcome means for the event) and `next_check` (when to decide again after a
-`Defer`). `endpoints_to_probe`, `endpoints_to_disconnect`, `should_request_list` and `next_wakeup_at` are
-for once a tick. All moments and spans are in milliseconds on the caller's clock. The design:
-docs/design.md.
+`Defer`). `endpoints_due_for_health_check`, `endpoints_to_disconnect`, `should_request_list` and
+`next_wakeup_at` are for once a scheduling cycle. All moments and spans are in milliseconds on the caller's
+clock. The design: docs/design.md.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
         self.list_polling = ListPolling(settings, self.jitter)
         self.quotas = TenantQuotas(settings)
         self.pending = PendingCapacity(settings, self.endpoint_list.destinations)
-        self.ordering = OrderingQueues(settings.ordering_rest_ms)
+        self.ordering = OrderingQueues(settings.ordering_pause_ms)
         self.urgency = UrgencyRanking(settings)
         self.retry_rules = RetryRules(settings)
         self.timeouts = AttemptTimeouts(settings, self.recovery)
@@ -137,7 +137,7 @@
         return bool(destination.endpoints and destination.endpoints[0].has_separate_route)
 
     def has_joinable_call(self, destination: Destination, now: float) -> bool:
-        """Whether a call of this tick takes others with it, though maybe not each event."""
+        """Whether a call of this scheduling cycle takes others with it, though maybe not each event."""
         return any(endpoint.rate_limiter.has_joinable_call(now) for endpoint in destination.endpoints)
 
     # Pending events: admission, order and turns.
@@ -194,9 +194,9 @@
         """A sort key: events of lower rank are decided first."""
         return self.urgency.rank(event, horizon_ms, now)
 
-    def ordering_turn_at(self, event: Event, now: float) -> float:
+    def ordering_ready_at(self, event: Event, now: float) -> float:
         """When its ordering key's turn is this event's: `now`, later, or inf: after those before it."""
-        return self.ordering.turn_at(event, now)
+        return self.ordering.may_send_at(event, now)
 
     def next_in_order(self, ordering_key: Hashable) -> Event | None:
         """The event whose turn it is among those of an ordering key; None when none is pending."""
@@ -242,12 +242,12 @@
 
     def decide(self, event: Event, now: float) -> Send | Defer | Reject | Abandon:
         """What to do with an event now; a `Send` counts as an attempt that is made."""
-        if self.retry_rules.is_spent(event, now) or self._must_shed(event):
+        if self.retry_rules.is_exhausted(event, now) or self._must_shed(event):
             return self._give_up(event, now)
         give_up_at = self.retry_rules.give_up_at(event)
-        turn_at = self.ordering.turn_at(event, now)
-        if turn_at > now:
-            return self._defer(event, min(give_up_at, turn_at), waits_for_outcome=True)
+        may_send_at = self.ordering.may_send_at(event, now)
+        if may_send_at > now:
+            return self._defer(event, min(give_up_at, may_send_at), waits_for_outcome=True)
         selection = self.selector.select(event, now)
         if isinstance(selection, NoneAvailable):
             return self._defer(
@@ -320,15 +320,15 @@
             return None
         event.check_at = now
         event.waits_for_outcome = False
-        return self._give_up(event, now) if self.retry_rules.is_spent(event, now) else Defer()
+        return self._give_up(event, now) if self.retry_rules.is_exhausted(event, now) else Defer()
 
-    # Once a tick.
+    # Once a scheduling cycle.
 
-    def endpoints_to_probe(self, now: float) -> list[Endpoint]:
+    def endpoints_due_for_health_check(self, now: float) -> list[Endpoint]:
         """Endpoints to send a health check to now: silent ones with events waiting, at the pace of trials."""
-        return self.health_checks.start_due(now)
+        return self.health_checks.start_due_checks(now)
 
-    def record_probe(
+    def record_health_check(
         self,
         endpoint_id: str | int,
         outcome: SendOutcome,
@@ -369,8 +369,8 @@
             call, cost = limiter.join_shared_call(), SHARED_EVENT_COST
         else:
             call, cost = self._start_call(event, endpoint, now), CALL_COST
-        limiter.book(now, cost)
-        self.recovery.book(endpoint, cost, now)
+        limiter.reserve(now, cost)
+        self.recovery.reserve(endpoint, cost, now)
         call.unresolved_count += 1
         event.call = call
         event.endpoint = endpoint
@@ -393,9 +393,9 @@
         if call.unresolved_count:
             return
         self.slots.release(call.endpoint)
-        self.idle_connections.note_call_ended(call.endpoint)
+        self.idle_connections.record_call_ended(call.endpoint)
         if outcome in (SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT) and not call.is_recorded:
-            call.endpoint.rate_limiter.give_back_slot()  # nobody was called: its slot is the next one's
+            call.endpoint.rate_limiter.release_slot()  # nobody was called: its slot is the next one's
 
     def _record_possible_run(self, event: Event, outcome: SendOutcome, now: float) -> None:
         """Note that an attempt may have had an effect, or may still run."""
@@ -403,7 +403,7 @@
             event.may_have_run_at = event.sent_at
             event.may_have_run_group = event.sent_group
         if event.ordering_key and outcome != SendOutcome.FAILED:
-            self.ordering.rest(event.ordering_key, now)
+            self.ordering.pause(event.ordering_key, now)
 
     def _give_up(self, event: Event, now: float) -> Reject | Abandon:
         self._release(event)
--- a/swiftthread/routing/selection.py
+++ b/swiftthread/routing/selection.py
@@ -18,7 +18,7 @@
 # ms after which an event of a destination without endpoints is decided again.
 NO_ENDPOINT_RETRY_MS = 200.0
 # x silence threshold for an endpoint with one call in flight: that call alone may be slow.
-LONE_CALL_SILENCE_FACTOR = 2
+SINGLE_CALL_UNRESPONSIVE_FACTOR = 2
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
 
     endpoint: Endpoint
     joins_call: bool
-    """Whether the event travels in a call that was made in this tick."""
+    """Whether the event travels in a call that was made in this scheduling cycle."""
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
             candidates.append(Candidate(endpoint, self._available_at(endpoint, now)))
         if not event.destination.endpoints:
             return NoneAvailable(now + NO_ENDPOINT_RETRY_MS)
-        if not candidates or self.slots.are_denied_to(event.destination):
+        if not candidates or self.slots.are_unavailable_to(event.destination):
             return NoneAvailable(math.inf)
         candidates = self._without_ejected(candidates, event, now)
         if candidates[0].endpoint.has_separate_route:
@@ -104,25 +104,25 @@
         if endpoint.is_down:
             if (
                 endpoint.calls_in_flight
-                or endpoint.has_probe_in_flight
-                or self.health_checks.must_pass_first(endpoint)
+                or endpoint.has_health_check_in_flight
+                or self.health_checks.must_pass_health_check(endpoint)
             ):
                 return math.inf
-            is_free_trial = endpoint.has_passed_probe or endpoint.is_untried_while_down
-            return max(now if is_free_trial else limiter.next_cold_slot_at, limiter.ready_at())
-        if endpoint.calls_in_flight and self._is_silent(endpoint, now):
+            is_free_trial = endpoint.has_passed_health_check or endpoint.is_untried_while_down
+            return max(now if is_free_trial else limiter.next_recovery_slot_at, limiter.ready_at())
+        if endpoint.calls_in_flight and self._is_unresponsive(endpoint, now):
             return math.inf
-        cold_slot_at = limiter.next_cold_slot_at if self.recovery.is_warming(endpoint, now) else now
+        cold_slot_at = limiter.next_recovery_slot_at if self.recovery.is_warming(endpoint, now) else now
         return max(limiter.ready_at(), endpoint.retry_at, cold_slot_at)
 
     @staticmethod
-    def _is_silent(endpoint: Endpoint, now: float) -> bool:
+    def _is_unresponsive(endpoint: Endpoint, now: float) -> bool:
         """Whether calls in flight had no outcome for too long.
 
         Bookings never learn when calls end: a silent endpoint would take slot after slot.
         """
-        factor = 1 if endpoint.calls_in_flight > 1 else LONE_CALL_SILENCE_FACTOR
-        return now - endpoint.last_outcome_at > endpoint.rate_limiter.silence_threshold_ms() * factor
+        factor = 1 if endpoint.calls_in_flight > 1 else SINGLE_CALL_UNRESPONSIVE_FACTOR
+        return now - endpoint.last_outcome_at > endpoint.rate_limiter.unresponsive_after_ms() * factor
 
     def _select_route(
         self, event: Event, candidates: list[Candidate], now: float
@@ -143,7 +143,7 @@
             return Selected(best.endpoint, joins_call=False)
         limiter = best.endpoint.rate_limiter
         if limiter.retry_after_until < best.available_at < math.inf:
-            limiter.note_demand(now)
+            limiter.record_demand(now)
         return NoneAvailable(
             min(candidate.available_at for candidate in candidates if candidate.available_at > now)
         )
@@ -157,7 +157,7 @@
         if not ready:
             soonest = min(candidate.available_at for candidate in candidates)
             if soonest < math.inf:
-                limiter.note_demand(now)
+                limiter.record_demand(now)
             return NoneAvailable(soonest)
         # Of those that are down, the ones that failed least get the trials.
         fewest_failures = min(
--- a/swiftthread/routing/settings.py
+++ b/swiftthread/routing/settings.py
@@ -83,8 +83,8 @@
     cold_capacity_share: float = 0.15
     """Share of its capacity that a destination has right after it comes back."""
     warm_up_ms: float = 20000.0
-    ordering_rest_ms: float = 0.0
+    ordering_pause_ms: float = 0.0
     """Pause of an ordering key after an attempt that may still run."""
-    tick_ms: float = 5.0
+    scheduling_interval_ms: float = 5.0
     keepalive_ms: float = math.inf
     connect_timeout_ms: float = 0.0
--- a/swiftthread/routing/statistics.py
+++ b/swiftthread/routing/statistics.py
@@ -8,41 +8,41 @@
 class SmoothedRate:
     """An exponentially weighted rate of events, in events per millisecond."""
 
-    __slots__ = ("_counted_at", "_rate", "span_ms")
+    __slots__ = ("_counted_at", "_rate", "window_ms")
 
-    def __init__(self, span_ms: float) -> None:
-        self.span_ms = span_ms
+    def __init__(self, window_ms: float) -> None:
+        self.window_ms = window_ms
         self._rate = 0.0
         self._counted_at = 0.0
 
     def add(self, now: float) -> None:
         """Count one event."""
-        self._rate = self.at(now) + 1.0 / self.span_ms
+        self._rate = self.at(now) + 1.0 / self.window_ms
         self._counted_at = now
 
     def at(self, moment: float) -> float:
         """The rate as it stands, or stood, at a moment."""
-        return self._rate * math.exp((self._counted_at - moment) / self.span_ms)
+        return self._rate * math.exp((self._counted_at - moment) / self.window_ms)
 
 
 class RecentCount:
     """How many events came within the last span."""
 
-    __slots__ = ("_moments", "span_ms")
+    __slots__ = ("_moments", "window_ms")
 
-    def __init__(self, span_ms: float) -> None:
-        self.span_ms = span_ms
+    def __init__(self, window_ms: float) -> None:
+        self.window_ms = window_ms
         self._moments: deque[float] = deque()
 
     def add(self, now: float) -> None:
         """Count one event, and forget those that the span has passed."""
         self._moments.append(now)
-        while now - self._moments[0] > self.span_ms:
+        while now - self._moments[0] > self.window_ms:
             self._moments.popleft()
 
     def count(self, now: float) -> int:
         """The events within the span that ends now."""
-        return sum(now - moment <= self.span_ms for moment in self._moments)
+        return sum(now - moment <= self.window_ms for moment in self._moments)
 
 
 class SlidingMedian:
--- a/swiftthread/routing/timeouts.py
+++ b/swiftthread/routing/timeouts.py
@@ -54,7 +54,7 @@
         """
         time_left_ms = self._time_left_ms(event, now)
         return (
-            time_left_ms >= endpoint.rate_limiter.silence_threshold_ms()
+            time_left_ms >= endpoint.rate_limiter.unresponsive_after_ms()
             or self.timeout_ms(event, endpoint, now) < time_left_ms
         )
 
--- a/swiftthread/server/admission_queue.py
+++ b/swiftthread/server/admission_queue.py
@@ -36,15 +36,15 @@
 class AdmissionQueue:
     """Owner of the waiting connections, the longest waiting first."""
 
-    def __init__(self, admission: Admission, request_tick: Callable[[], None]) -> None:
+    def __init__(self, admission: Admission, request_cycle: Callable[[], None]) -> None:
         """Create an empty queue.
 
         Args:
             admission: Bounds how many requests may be read.
-            request_tick: Asks the scheduler for a tick, in which `admit_waiting` is called.
+            request_cycle: Asks the scheduler for a scheduling cycle, in which `admit_waiting` is called.
         """
         self._admission = admission
-        self._request_tick = request_tick
+        self._request_cycle = request_cycle
         self._waiting: deque[WaitingConnection] = deque()
 
     def __len__(self) -> int:
@@ -60,7 +60,7 @@
             return
         waiting = WaitingConnection(connection)
         self._waiting.append(waiting)
-        self._request_tick()
+        self._request_cycle()
         try:
             await waiting.wait_is_over.wait()
         finally:
@@ -70,7 +70,7 @@
             raise ConnectionClosed(request_was_written=True)
 
     def admit_waiting(self) -> None:
-        """Admit as many as may be read in this tick.
+        """Admit as many as may be read in this scheduling cycle.
 
         The longest waiting go first, but once that one's client is about to give up, the newest do: else each
         would be read just too late. Clients that gave up go without being read.
--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -44,7 +44,7 @@
 
     max_clients: int
     """In all."""
-    max_resting_clients: int
+    max_idle_clients: int
     """Kept between requests."""
 
 
@@ -62,7 +62,7 @@
         request_ms: float,
         idle_ms: float,
         admission: Admission,
-        request_tick: Callable[[], None],
+        request_cycle: Callable[[], None],
     ) -> None:
         """Create a server; `serve` runs it.
 
@@ -76,7 +76,7 @@
             request_ms: From the first byte of a request to its last.
             idle_ms: From an answer to the first byte of the next request.
             admission: Bounds how many requests may be read.
-            request_tick: Asks the scheduler for a tick, in which `admit_waiting` is to be called.
+            request_cycle: Asks the scheduler for a cycle, in which `admit_waiting` is to be called.
         """
         self.limits = limits
         self.connections = ConnectionTable()
@@ -84,8 +84,8 @@
         self._admit = admit
         self._stream_types = stream_types
         self._buffers = buffers
-        self._request_tick = request_tick
-        self._admission_queue = AdmissionQueue(admission, request_tick)
+        self._request_cycle = request_cycle
+        self._admission_queue = AdmissionQueue(admission, request_cycle)
         self._reader = RequestReader(
             self.connections, self._admission_queue, log_clock, first_request_ms, request_ms, idle_ms
         )
@@ -117,7 +117,7 @@
             await anyio.sleep(ACCEPT_PAUSE_S)
 
     def admit_waiting(self) -> None:
-        """Let as many waiting requests be read as may be in this tick."""
+        """Let as many waiting requests be read as may be in this scheduling cycle."""
         self._admission_queue.admit_waiting()
 
     def close_idle(self) -> None:
@@ -128,7 +128,7 @@
         self.is_shutting_down = True
         self.connections.begin_close_of_quiet(anyio.current_time() - NEW_GRACE_S)
 
-    def owes_answers(self) -> bool:
+    def has_pending_responses(self) -> bool:
         """Whether any client waits for an answer: to a request read or not."""
         return bool(
             self.connections.count(ConnectionState.IN_REQUEST)
@@ -150,7 +150,7 @@
         with anyio.move_on_after(SHUTDOWN_TIMEOUT_S):
             while len(self.connections):
                 self.connections.begin_close_of_quiet(math.inf)
-                self._request_tick()  # waiting requests are admitted in a tick
+                self._request_cycle()  # waiting requests are admitted in a scheduling cycle
                 await anyio.sleep(SHUTDOWN_POLL_S)
 
     def _accept(self, listener: socket.socket, tasks: TaskGroup) -> None:
@@ -174,7 +174,7 @@
         """
         idle = self.connections.count(ConnectionState.IDLE_CLIENT)
         idle += self.connections.count(ConnectionState.IDLE_WITHOUT_EVENT)
-        return idle >= self.limits.max_resting_clients
+        return idle >= self.limits.max_idle_clients
 
     async def _serve_client(self, connection: Connection) -> None:
         """Run a connection's task: whatever ends it, the connection is closed."""
--- a/swiftthread/service/activity.py
+++ b/swiftthread/service/activity.py
@@ -67,7 +67,7 @@
             "endpoint {} of destination {} is back, taken to warm up since {:.1f} s; next call in {:.1f} s",
             change.endpoint_id,
             change.destination_number,
-            change.warming_ms / 1000.0,
+            change.warm_up_elapsed_ms / 1000.0,
             change.next_call_ms / 1000.0,
         )
 
--- a/swiftthread/service/composition.py
+++ b/swiftthread/service/composition.py
@@ -25,7 +25,7 @@
     NOTIFICATION_RETRY_PAUSE_MS,
     PLATFORM_RESPONSE_TIMEOUT_MS,
     REQUEST_TIMEOUT_MS,
-    WATCH_QUIET_MS,
+    WATCH_IDLE_TIMEOUT_MS,
     Limits,
 )
 from swiftthread.service.node import Node
@@ -64,8 +64,8 @@
         self._buffers = BufferPool()
         self._activity = Activity()
         self._router = Router(config.settings, config.seed, self._activity)
-        self._scheduler = Scheduler(self._router, monotonic_ms, config.settings.tick_ms)
-        self._admission = AdmissionController(config.settings.tick_ms)
+        self._scheduler = Scheduler(self._router, monotonic_ms, config.settings.scheduling_interval_ms)
+        self._admission = AdmissionController(config.settings.scheduling_interval_ms)
 
     def build(self) -> Node:
         """Build the node."""
@@ -102,7 +102,7 @@
             buffers=self._buffers,
             kind_numbers=self._config.names.kind_numbers,
             zone_numbers=self._config.names.zone_numbers,
-            quiet_ms=WATCH_QUIET_MS,
+            idle_timeout_ms=WATCH_IDLE_TIMEOUT_MS,
             connect_timeout_ms=PLATFORM_RESPONSE_TIMEOUT_MS,
         )
 
@@ -168,16 +168,16 @@
             request_ms=REQUEST_TIMEOUT_MS,
             idle_ms=CLIENT_IDLE_TIMEOUT_MS,
             admission=self._admission,
-            request_tick=self._scheduler.request_tick,
+            request_cycle=self._scheduler.request_cycle,
         )
 
     def _apply_known_list(self, discovery: DiscoveryClient) -> None:
         """Start with the configuration's endpoint list, until the watch tells a newer one."""
-        known_list = self._config.known_list
-        if not known_list:
+        initial_list = self._config.initial_list
+        if not initial_list:
             return
         try:
-            entries, is_complete = discovery.parse_list(known_list)
+            entries, is_complete = discovery.parse_list(initial_list)
             self._router.apply_endpoint_list(entries, is_complete, monotonic_ms())
         except UNREADABLE as error:
             logger.warning("the configuration's known list cannot be read ({}); the watch will tell", error)
--- a/swiftthread/service/delivery.py
+++ b/swiftthread/service/delivery.py
@@ -154,7 +154,7 @@
         else:
             result = await self._skip_unlogged_send()
         self._activity.sends[result.outcome] += 1
-        now = await self._scheduler.wait_for_tick()
+        now = await self._scheduler.wait_for_cycle()
         answer = self._router.record_outcome(
             event,
             result.outcome,
--- a/swiftthread/service/limits.py
+++ b/swiftthread/service/limits.py
@@ -17,7 +17,7 @@
 # ms without a line on the watch. It sends an empty line every 2 s: two missed, and it is opened anew. With
 # the pause before that (0.3 s at most) and the response it stays inside the 6 s after which a change counts
 # as told.
-WATCH_QUIET_MS = 4200.0
+WATCH_IDLE_TIMEOUT_MS = 4200.0
 # ms for a response of discovery, or to a notification, which come at once by the platform's contract.
 PLATFORM_RESPONSE_TIMEOUT_MS = 1500.0
 # ms before a notification is repeated that was not answered 204: half of the slack that it has.
@@ -38,7 +38,7 @@
 # Of the sockets: idle connections to endpoints.
 IDLE_CONNECTION_SHARE = 0.25
 # Of the sockets: client connections kept between requests; clients may hold a third in all.
-RESTING_CLIENT_SHARE = 0.125
+IDLE_CLIENT_SHARE = 0.125
 # Of the slots that the settings leave open: one in so many sockets.
 SOCKETS_PER_DEFAULT_SLOT = 4
 # Of the endpoints' keep-alive time: an endpoint closes an idle connection at its time or before, so that ours
@@ -67,7 +67,7 @@
         max_idle_connections: Idle connections to endpoints.
         max_idle_ms: How long one of them may be idle.
         max_clients: Client connections.
-        max_resting_clients: Client connections kept between requests.
+        max_idle_clients: Client connections kept between requests.
         backlog: Connections that wait to be accepted.
         disk_bytes: Bytes that the write-ahead log may use.
         connect_timeout_ms: Time-out of a connect to an endpoint.
@@ -81,7 +81,7 @@
     max_idle_connections: int = field(init=False)
     max_idle_ms: float = field(init=False)
     max_clients: int = field(init=False)
-    max_resting_clients: int = field(init=False)
+    max_idle_clients: int = field(init=False)
     backlog: int = field(init=False)
     disk_bytes: int = field(init=False)
     connect_timeout_ms: float = field(init=False)
@@ -102,7 +102,7 @@
         self.max_idle_connections = max(MIN_CONNECTIONS, int(IDLE_CONNECTION_SHARE * sockets) - slots)
         for_clients = sockets - RESERVED_SOCKETS - self.max_idle_connections - 2 * slots
         self.max_clients = max(MIN_CONNECTIONS, for_clients)
-        self.max_resting_clients = max(MIN_CONNECTIONS, int(RESTING_CLIENT_SHARE * sockets))
+        self.max_idle_clients = max(MIN_CONNECTIONS, int(IDLE_CLIENT_SHARE * sockets))
         self.backlog = max(MIN_BACKLOG, sockets)
         self.disk_bytes = int(float(machine_limits.get("disk_mb") or DEFAULT_DISK_MB) * BYTES_PER_DISK_MB)
         self.max_idle_ms = IDLE_TIME_SHARE * min(keepalive_ms, MAX_KEEPALIVE_MS)
--- a/swiftthread/service/node.py
+++ b/swiftthread/service/node.py
@@ -53,16 +53,16 @@
         """Resume what the log holds, and start the tasks that run as long as the node."""
         self.delivery.resume()
         self.tasks.start_soon(self.notifier.run)
-        self.tasks.start_soon(self.scheduler.run, self._on_tick)
+        self.tasks.start_soon(self.scheduler.run, self._on_cycle)
         self.tasks.start_soon(self._follow_discovery)
         self.tasks.start_soon(self.activity.report)
 
-    def _on_tick(self, now: float, decided_count: int, late_ms: float) -> None:
-        """What a tick leads to besides decisions: batches, admission, health checks, idle connections."""
+    def _on_cycle(self, now: float, decided_count: int, late_ms: float) -> None:
+        """What a cycle leads to besides decisions: batches, admission, health checks, idle connections."""
         self.endpoint_client.start_batches()
-        self.admission.record_tick(late_ms, decided_count)
+        self.admission.record_cycle(late_ms, decided_count)
         self.server.admit_waiting()
-        for endpoint in self.router.endpoints_to_probe(now):
+        for endpoint in self.router.endpoints_due_for_health_check(now):
             self.tasks.start_soon(self._check_health, endpoint)
         for endpoint in self.router.endpoints_to_disconnect(now):
             self.endpoint_client.close_idle_connections(endpoint)
@@ -70,15 +70,15 @@
     async def _check_health(self, endpoint: Endpoint) -> None:
         """Send one health check and tell the router its outcome."""
         result = await self.endpoint_client.check_health(endpoint)
-        now = await self.scheduler.wait_for_tick()
-        self.router.record_probe(
+        now = await self.scheduler.wait_for_cycle()
+        self.router.record_health_check(
             endpoint.endpoint_id, result.outcome, now, result.latency_ms, result.load_report
         )
         self.scheduler.wake(endpoint.destination)
 
     async def _apply_endpoint_list(self, entries: list[EndpointEntry], is_complete: bool) -> None:
         """Tell the router a list of endpoints, or a change of it."""
-        now = await self.scheduler.wait_for_tick()
+        now = await self.scheduler.wait_for_cycle()
         self.router.apply_endpoint_list(entries, is_complete, now)
         self.scheduler.wake()
 
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -1,4 +1,4 @@
-"""Queues of pending events: a tick costs what can move, not what is held. No I/O.
+"""Queues of pending events: a scheduling cycle costs what can move, not what is held. No I/O.
 
 The router decides everything: the order, and what becomes of each event. Known here is only whom to ask.
 Events of one destination that the router treats alike stand in one `QueueGroup`; when its most urgent event
@@ -62,11 +62,11 @@
         self.event_timers = EventTimers()
         self.group_timers = GroupTimers()
         self._next_sequence_number = count()
-        # Ordered set of groups to ask in the next tick; emptied by it.
+        # Ordered set of groups to ask in the next scheduling cycle; emptied by it.
         self._ready: dict[QueueGroup, bool] = {}
-        # Decided in this tick; emptied at its end, or at the next one's where an error broke it off.
+        # Decided in this cycle; emptied at its end, or at the next one's where an error broke it off.
         self._decided: list[EventDecision] = []
-        # Ordered set of the ordering keys of which an event has left; emptied by each tick.
+        # Ordered set of the ordering keys of which an event has left; emptied by each scheduling cycle.
         self._released_ordering_keys: dict[Hashable, bool] = {}
 
     def __len__(self) -> int:
@@ -87,7 +87,7 @@
             self._released_ordering_keys[event.ordering_key] = True
 
     def wake(self, destination: Destination | None = None) -> None:
-        """Ask again in the next tick, for the router has learnt something of a destination (None: of any).
+        """Ask again in the next cycle, for the router has learnt something of a destination (None: of any).
 
         Its groups are asked, and those that may wait for a slot.
         """
@@ -100,12 +100,12 @@
             self.waiting_for_slot.clear()
 
     def next_wakeup_at(self) -> float:
-        """When the next tick is due (ms); -inf when events can move now."""
+        """When the next scheduling cycle is due (ms); -inf when events can move now."""
         if self._ready or self._released_ordering_keys:
             return -math.inf
         return min(self.group_timers.next_at(), self.event_timers.next_at())
 
-    def tick(self, now: float) -> list[EventDecision]:
+    def run_cycle(self, now: float) -> list[EventDecision]:
         """Ask the router; return what it decided, in the order asked. Those events are queued no more.
 
         An event for which the router fails is returned with its exception: the others must not wait for it.
@@ -123,10 +123,10 @@
 
     def _enqueue(self, event: Event, now: float) -> None:
         """Put an event into its group, unless its ordering key has others before it or rests."""
-        turn_at = self.router.ordering_turn_at(event, now)
-        if turn_at > now:
-            if turn_at < math.inf:
-                self.event_timers.start_rest(event, turn_at)
+        may_send_at = self.router.ordering_ready_at(event, now)
+        if may_send_at > now:
+            if may_send_at < math.inf:
+                self.event_timers.start_rest(event, may_send_at)
             return
         key = (event.destination, *self.router.queue_class(event))
         group = self.groups.get(key)
@@ -211,7 +211,7 @@
         while heads:
             group = heapq.heappop(heads).group
             if self.router.all_slots_in_use() and group.destination not in sent_to:
-                # Nothing moves but what joins a call of this tick.
+                # Nothing moves but what joins a call of this scheduling cycle.
                 self.waiting_for_slot[group] = True
                 group.asleep_until = math.inf
                 continue
@@ -231,7 +231,7 @@
             event = group.next_event()
             if event is None:
                 return
-            if self.router.ordering_turn_at(event, now) <= now:
+            if self.router.ordering_ready_at(event, now) <= now:
                 rank = group.rank(event, now)
                 heapq.heappush(heads, GroupHead(rank, next(self._next_sequence_number), group))
                 return
@@ -244,7 +244,7 @@
         """The most urgent event was deferred: its group waits until then, or for what ends before."""
         next_check = self.router.next_check(event, now)
         group.asleep_until = next_check.at
-        if next_check.or_outcome and self.router.slots_are_scarce():
+        if next_check.or_after_outcome and self.router.slots_are_scarce():
             self.waiting_for_slot[group] = True
         self.group_timers.start(group)
         destination = group.destination
--- a/swiftthread/service/scheduler.py
+++ b/swiftthread/service/scheduler.py
@@ -1,4 +1,4 @@
-"""The ticks of a node: when the router is asked and told.
+"""The scheduling cycles of a node: when the router is asked and told.
 
 Which events are asked for, and in which order, is the work of `pending_queues`.
 """
@@ -20,8 +20,8 @@
 Result = TypeVar("Result")
 
 
-class TickWaiter(Generic[Result]):
-    """One task that waits for the tick which concerns it."""
+class CycleWaiter(Generic[Result]):
+    """One task that waits for the scheduling cycle which concerns it."""
 
     __slots__ = ("_resolved", "_result", "_error")
 
@@ -49,46 +49,48 @@
 
 
 class Scheduler:
-    """Gives ticks, at least `tick_ms` apart, while there is something to ask the router or to tell it.
+    """Gives cycles while there is something to ask the router or to tell it.
+
+    They are at least `scheduling_interval_ms` apart.
 
     Attributes:
-        tick_ms: Pause between two ticks.
+        scheduling_interval_ms: Pause between two scheduling cycles.
         is_sending: Cleared by the shutdown: outcomes are still recorded, but no event is asked for.
     """
 
-    def __init__(self, router: Router, clock: Clock, tick_ms: float) -> None:
-        self.tick_ms = tick_ms
+    def __init__(self, router: Router, clock: Clock, scheduling_interval_ms: float) -> None:
+        self.scheduling_interval_ms = scheduling_interval_ms
         self.is_sending = True
         self._router = router
         self._clock = clock
         self._queues = PendingQueues(router)
-        # Tasks that have something to tell the router; emptied by each tick.
-        self._tick_waiters: list[TickWaiter[float]] = []
+        # Tasks that have something to tell the router; emptied by each scheduling cycle.
+        self._cycle_waiters: list[CycleWaiter[float]] = []
         # Pending event -> the task that waits for its decision; emptied as events are decided or end.
-        self._decision_waiters: dict[Event, TickWaiter[Send | Reject | Abandon]] = {}
+        self._decision_waiters: dict[Event, CycleWaiter[Send | Reject | Abandon]] = {}
         self._wakeup = anyio.Event()
-        self._is_tick_requested = False
+        self._is_cycle_requested = False
         self._sleeps_until = -math.inf  # ms; -inf while awake
 
-    async def wait_for_tick(self) -> float:
-        """Wait for the beginning of a tick, to tell the router what was learnt; returns its moment in ms."""
-        waiter: TickWaiter[float] = TickWaiter()
-        self._tick_waiters.append(waiter)
+    async def wait_for_cycle(self) -> float:
+        """Wait for the beginning of a cycle, to tell the router what was learnt; returns its moment in ms."""
+        waiter: CycleWaiter[float] = CycleWaiter()
+        self._cycle_waiters.append(waiter)
         self._wakeup.set()
         return await waiter.wait()
 
     async def wait_for_decision(self, event: Event) -> Send | Reject | Abandon:
         """Queue an event and wait until the router has decided it; raises what the router raised for it."""
-        waiter: TickWaiter[Send | Reject | Abandon] = TickWaiter()
+        waiter: CycleWaiter[Send | Reject | Abandon] = CycleWaiter()
         self._decision_waiters[event] = waiter
         self._queues.add(event, self._clock())
         if self._queues.next_wakeup_at() < self._sleeps_until:
             self._wakeup.set()
         return await waiter.wait()
 
-    def request_tick(self) -> None:
-        """Give a tick soon, whatever there is to ask."""
-        self._is_tick_requested = True
+    def request_cycle(self) -> None:
+        """Give a scheduling cycle soon, whatever there is to ask."""
+        self._is_cycle_requested = True
         self._wakeup.set()
 
     def wake(self, destination: Destination | None = None) -> None:
@@ -100,34 +102,34 @@
         self._queues.remove(event)
         self._decision_waiters.pop(event, None)
 
-    async def run(self, on_tick: Callable[[float, int, float], None]) -> None:
-        """Give ticks until cancelled.
+    async def run(self, on_cycle: Callable[[float, int, float], None]) -> None:
+        """Give scheduling cycles until cancelled.
 
         Args:
-            on_tick: Called after each tick with its moment (ms), the number of events decided in it, and the
-                ms by which it came late for want of CPU time.
+            on_cycle: Called after each cycle with its moment (ms), the number of events decided in it, and
+                the ms by which it came late for want of CPU time.
         """
         late_ms = 0.0
         while True:
             try:
                 await self._sleep()
                 now = self._clock()
-                decided_count = await self._tick(now)
-                on_tick(now, decided_count, late_ms)
-            except Exception:  # guards the node: the next tick asks for all events again
+                decided_count = await self._run_cycle(now)
+                on_cycle(now, decided_count, late_ms)
+            except Exception:  # guards the node: the next scheduling cycle asks for all events again
                 logger.exception("a tick failed")
                 self._queues.wake()
             pause_began_at = self._clock()
-            await anyio.sleep(self.tick_ms / 1000.0)
-            late_ms = self._clock() - pause_began_at - self.tick_ms
+            await anyio.sleep(self.scheduling_interval_ms / 1000.0)
+            late_ms = self._clock() - pause_began_at - self.scheduling_interval_ms
 
     async def _sleep(self) -> None:
-        """Wait until a tick is due or wanted."""
+        """Wait until a scheduling cycle is due or wanted."""
         self._wakeup = anyio.Event()
         now = self._clock()
         until = min(self._queues.next_wakeup_at(), self._router.next_wakeup_at(now))
-        if self._tick_waiters or self._is_tick_requested or until <= now and self.is_sending:
-            self._is_tick_requested = False
+        if self._cycle_waiters or self._is_cycle_requested or until <= now and self.is_sending:
+            self._is_cycle_requested = False
             return
         self._sleeps_until = until
         timeout_s = (until - now) / 1000.0 if until < math.inf and self.is_sending else None
@@ -135,17 +137,17 @@
             await self._wakeup.wait()
         self._sleeps_until = -math.inf
 
-    async def _tick(self, now: float) -> int:
+    async def _run_cycle(self, now: float) -> int:
         """Let those with outcomes tell them, then ask for events; returns how many were decided."""
-        waiters = self._tick_waiters
-        self._tick_waiters = []
+        waiters = self._cycle_waiters
+        self._cycle_waiters = []
         for waiter in waiters:
             waiter.resolve(now)
         if waiters:
             await checkpoint()  # they run up to their next wait
         if not self.is_sending:
             return 0
-        decisions = self._queues.tick(now)
+        decisions = self._queues.run_cycle(now)
         for decision in decisions:
             self._hand_over(decision)
         if decisions:
@@ -156,7 +158,7 @@
         """Hand a decision to the task that waits for it."""
         event, answer = decision
         waiter = self._decision_waiters.pop(event, None)
-        if waiter is None:  # an error of ours; the other decisions of this tick are delivered all the same
+        if waiter is None:  # an error of ours; the other decisions of this cycle are delivered all the same
             logger.error("a decision came for an event that nobody waits for")
         elif isinstance(answer, Exception):
             waiter.fail(answer)
--- a/swiftthread/service/shutdown.py
+++ b/swiftthread/service/shutdown.py
@@ -54,4 +54,4 @@
         has_unfinished_events = bool(node.log.pending)
     else:
         has_unfinished_events = bool(node.router.calls_in_flight)
-    return has_unfinished_events or node.server.owes_answers()
+    return has_unfinished_events or node.server.has_pending_responses()
--- a/swiftthread/service/submissions.py
+++ b/swiftthread/service/submissions.py
@@ -82,7 +82,7 @@
         destination = self._router.find_destination(pending.destination)
         at = self._clock()
         refusal = self._reason_to_refuse(pending, destination, at)
-        if refusal is None and not self._log.append_taken(pending):
+        if refusal is None and not self._log.append_accepted(pending):
             refusal = AdmissionOutcome.NOT_LOGGED
         if refusal is not None:
             retry_after_ms = self._router.retry_after_ms(destination, at)
--- a/swiftthread/simulator/sessions.py
+++ b/swiftthread/simulator/sessions.py
@@ -98,7 +98,7 @@
 
     def record_health_check(self, result: HealthCheckResult, now: float) -> None:
         """Hand the router the result of a health check."""
-        self.router.record_probe(
+        self.router.record_health_check(
             result.endpoint,
             read_outcome(result.outcome_code),
             now,
@@ -131,14 +131,14 @@
         if self._scheduled_at.get(event.handle) != check.at:
             self._scheduled_at[event.handle] = check.at
             heapq.heappush(self._scheduled, (check.at, next(self._insertion), event))
-        if check.or_outcome:
+        if check.or_after_outcome:
             self.waiting_for_result[event.handle] = event
 
     def settle(self, now: float, commands: CommandWriter) -> None:
         """Decide every event whose moment has come, then set the timer for the next."""
         for event in self.router.sort_by_urgency(self._take_due_events(now), now):
             self.answer(event, self.router.decide(event, now), now, commands)
-        for endpoint in self.router.endpoints_to_probe(now):
+        for endpoint in self.router.endpoints_due_for_health_check(now):
             commands.probe(self.number, endpoint.endpoint_id)
         for endpoint in self.router.endpoints_to_disconnect(now):
             commands.close_idle(self.number, endpoint.endpoint_id)
--- a/swiftthread/storage/event_records.py
+++ b/swiftthread/storage/event_records.py
@@ -6,12 +6,12 @@
 
 from swiftthread.storage.decision import Decision
 from swiftthread.storage.pending_event import PendingEvent, PossibleExecution
-from swiftthread.storage.records import DECIDED, ENDED, NEVER_RAN, SENT, STATE, TAKEN, record
+from swiftthread.storage.records import ACCEPTED, DECIDED, ENDED, NEVER_RAN, SENT, STATE, record
 
 FIELDS_LENGTH = struct.Struct("<I")  # bytes of the JSON fields of a taken record; the body follows them
 
 
-def taken_record(pending: PendingEvent) -> bytes:
+def accepted_record(pending: PendingEvent) -> bytes:
     """The event was accepted: everything that its client submitted."""
     fields = json.dumps(
         [
@@ -24,10 +24,10 @@
             pending.ordering_key,
         ]
     ).encode()
-    return record(TAKEN, FIELDS_LENGTH.pack(len(fields)) + fields + pending.body)
+    return record(ACCEPTED, FIELDS_LENGTH.pack(len(fields)) + fields + pending.body)
 
 
-def parse_taken(payload: bytes) -> PendingEvent:
+def parse_accepted(payload: bytes) -> PendingEvent:
     """The event that a taken record holds.
 
     Raises:
@@ -83,7 +83,7 @@
 
 def snapshot(pending: PendingEvent) -> bytes:
     """The records that say all that is known of an event, in a rewritten file."""
-    parts = [taken_record(pending)]
+    parts = [accepted_record(pending)]
     if pending.attempts or pending.may_have_run:
         # A send in flight has a record of its own, because it may still turn out that it never ran.
         earlier_attempts = pending.attempts - 1 if pending.send_in_flight else pending.attempts
--- a/swiftthread/storage/records.py
+++ b/swiftthread/storage/records.py
@@ -18,19 +18,19 @@
 LENGTH_OFFSET = CHECKSUM.size
 KIND_OFFSET = HEADER.size - 1
 
-TAKEN = b"T"
+ACCEPTED = b"T"
 STATE = b"S"
 SENT = b"O"
 NEVER_RAN = b"N"
 DECIDED = b"D"
 ENDED = b"E"
-# Written over the kind of a TAKEN record, whose checksum stays: the event was taken, and then decided.
-TAKEN_AND_ABANDONED = b"G"
-TAKEN_AND_REJECTED = b"H"
+# Written over the kind of an ACCEPTED record, whose checksum stays: the event was taken, and then decided.
+ACCEPTED_AND_ABANDONED = b"G"
+ACCEPTED_AND_REJECTED = b"H"
 
 IN_PLACE_KINDS = {
-    FinalOutcome.ABANDONED: TAKEN_AND_ABANDONED,
-    FinalOutcome.REJECTED: TAKEN_AND_REJECTED,
+    FinalOutcome.ABANDONED: ACCEPTED_AND_ABANDONED,
+    FinalOutcome.REJECTED: ACCEPTED_AND_REJECTED,
 }
 IN_PLACE_OUTCOMES = {kind: outcome for outcome, kind in IN_PLACE_KINDS.items()}
 KIND_PATTERN = re.compile(b"[TSONDEGH]")
@@ -87,7 +87,7 @@
     if end > len(data):
         return None
     payload = data[payload_begin:end]
-    checked_kind = TAKEN if kind in IN_PLACE_OUTCOMES else kind
+    checked_kind = ACCEPTED if kind in IN_PLACE_OUTCOMES else kind
     length_and_kind = data[begin + LENGTH_OFFSET : begin + KIND_OFFSET] + checked_kind
     if zlib.crc32(payload, zlib.crc32(length_and_kind)) != checksum:
         return None
--- a/swiftthread/storage/replay.py
+++ b/swiftthread/storage/replay.py
@@ -10,18 +10,18 @@
 from typing import Any, NamedTuple
 
 from swiftthread.storage.decision import Decision, FinalOutcome
-from swiftthread.storage.event_records import parse_taken
+from swiftthread.storage.event_records import parse_accepted
 from swiftthread.storage.pending_event import UNKNOWN_EXECUTION, PendingEvent, PossibleExecution
 from swiftthread.storage.pending_table import PendingEventTable
 from swiftthread.storage.recently_ended import RecentlyEndedEvents
 from swiftthread.storage.records import (
+    ACCEPTED,
     DECIDED,
     ENDED,
     IN_PLACE_OUTCOMES,
     NEVER_RAN,
     SENT,
     STATE,
-    TAKEN,
     Gap,
     Record,
     is_torn,
@@ -79,7 +79,7 @@
             pending.may_have_run = UNKNOWN_EXECUTION
 
     def _apply(self, record: Record) -> None:
-        if record.kind == TAKEN or record.kind in IN_PLACE_OUTCOMES:
+        if record.kind == ACCEPTED or record.kind in IN_PLACE_OUTCOMES:
             self._apply_taken(record)
             return
         event_id, *fields = json.loads(record.payload.decode())
@@ -90,7 +90,7 @@
             APPLIERS[record.kind](pending, fields)
 
     def _apply_taken(self, record: Record) -> None:
-        pending = parse_taken(record.payload)
+        pending = parse_accepted(record.payload)
         pending.file_offset = record.begin
         outcome = IN_PLACE_OUTCOMES.get(record.kind)
         if outcome is not None:
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -13,13 +13,13 @@
 
 from swiftthread.storage.decision import Decision
 from swiftthread.storage.event_records import (
+    accepted_record,
     decided_record,
     ended_record,
     ended_record_with_fingerprint,
     never_ran_record,
     sent_record,
     snapshot,
-    taken_record,
 )
 from swiftthread.storage.log_file import LogFile, LogFileError
 from swiftthread.storage.pending_event import PendingEvent, PossibleExecution
@@ -115,9 +115,9 @@
             return ended.fingerprint is None or ended.fingerprint == pending.fingerprint()
         return None
 
-    def append_taken(self, pending: PendingEvent) -> bool:
+    def append_accepted(self, pending: PendingEvent) -> bool:
         """Take an event; False when the log has no room for it or cannot be written."""
-        data = taken_record(pending)
+        data = accepted_record(pending)
         if not self._table.has_room_for(pending.event_id, len(data)):
             return False
         try:
--- a/tests/client/test_discovery_watch.py
+++ b/tests/client/test_discovery_watch.py
@@ -74,4 +74,4 @@
     for _ in range(500):
         router.list_request_failed(0.0)
         pauses.append(router.list_polling.next_request_at)
-    assert limits.WATCH_QUIET_MS > 4000.0 and limits.WATCH_QUIET_MS + max(pauses) < 5200.0
+    assert limits.WATCH_IDLE_TIMEOUT_MS > 4000.0 and limits.WATCH_IDLE_TIMEOUT_MS + max(pauses) < 5200.0
--- a/tests/configuration/test_node_config.py
+++ b/tests/configuration/test_node_config.py
@@ -43,7 +43,7 @@
     config = read_node_config(write_config(DOCUMENT))
     assert (config.name, config.state_directory, config.seed) == ("n0", "/var/lib/node", 255)
     assert config.listen == ("127.0.0.1", 9000) and config.discovery == ("127.0.0.1", 9001)
-    assert config.limits == {"sockets": 96} and config.known_list == {"servers": []}
+    assert config.limits == {"sockets": 96} and config.initial_list == {"servers": []}
     assert config.settings.stream_types[0].effect == Effect.IDEMPOTENT
     assert config.settings.max_pending_events == math.inf  # left out
     assert config.names.stream_type_numbers == {"notice": 0} and config.names.tenant_numbers == {"retail": 0}
--- a/tests/routing/test_long_day.py
+++ b/tests/routing/test_long_day.py
@@ -43,7 +43,9 @@
         run.schedule(200.0 * number, lambda ticket=number: run.submit(ticket, ordering_key=ticket + 1))
         run.run_until(200.0 * number + 199.0)
         held = PendingEvent(f"evt-{number}", f"key-{number}", "notice", 0, run.now + 5000.0, 0, 0, b"body")
-        assert log.matches_known_event(held) is None and log.append_taken(held) and log.append_sent(held, 0)
+        assert (
+            log.matches_known_event(held) is None and log.append_accepted(held) and log.append_sent(held, 0)
+        )
         log.append_ended(held)
         assert log.matches_known_event(held)
         line = Connection(socket.create_connection(listener.getsockname()), BufferPool(), None)
--- a/tests/routing/test_ordering_keys.py
+++ b/tests/routing/test_ordering_keys.py
@@ -15,7 +15,7 @@
         [(1, 0, 0, 0, 50.0, True)],
         answers,
         stream_types=[IDEMPOTENT._replace(is_ordered=True)],
-        ordering_rest_ms=2500.0,
+        ordering_pause_ms=2500.0,
     )
     burst(run, (1, 2, 3), ordering_key=9)
     burst(run, (4,), 20.0, ordering_key=8).run_until(9000.0).assert_matches_trace("ordering_key")
--- a/tests/routing/test_pacing.py
+++ b/tests/routing/test_pacing.py
@@ -40,7 +40,7 @@
         node.health.record_call(endpoint, SendOutcome.ACKED, moment, 50.0, LoadReport(0.5, limit))
         run.lines.append(
             f"reported {limit}: rate {endpoint.rate_limiter.rate * 1000:.2f}, "
-            f"busy share {endpoint.rate_limiter.busy_share * 1000:.2f}, "
+            f"busy share {endpoint.rate_limiter.active_share * 1000:.2f}, "
             f"equal share {endpoint.rate_limiter.equal_share * 1000:.2f}"
         )
     run.assert_matches_trace("reported_limit")
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -49,7 +49,7 @@
             request_ms=60000.0,
             idle_ms=idle_ms,
             admission=AdmissionController(5.0),
-            request_tick=lambda: None,
+            request_cycle=lambda: None,
         )
         tasks.start_soon(self.server.serve, self.listener, tasks)
 
--- a/tests/service/test_internal_errors.py
+++ b/tests/service/test_internal_errors.py
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        "swiftthread.routing.router:Router.endpoints_to_probe 3 4",
+        "swiftthread.routing.router:Router.endpoints_due_for_health_check 3 4",
         "swiftthread.service.pending_queues:PendingQueues._ask_ready_groups 3",
         "swiftthread.routing.router:Router.next_wakeup_at 3",
     ],
@@ -61,7 +61,7 @@
 
 
 def test_what_was_decided_before_a_fault_in_the_same_tick_is_not_lost(tmp_path):
-    """The first of two events was decided, and its slot booked, when the tick broke off."""
+    """The first of two events was decided, and its slot booked, when the scheduling cycle broke off."""
     first, second = FakeEndpoint(), FakeEndpoint(ident="s-2", cell=2)
     with started(
         tmp_path, "swiftthread.service.pending_queues:PendingQueues._push_head 3", first, second
--- a/tests/service/test_pending_queues.py
+++ b/tests/service/test_pending_queues.py
@@ -85,7 +85,7 @@
             router.record_outcome(event, SendOutcome.ACKED, now, latency, is_finished=True)
             queues.wake(event.destination)
             queues.remove(event)
-        for event, answer in queues.tick(now):
+        for event, answer in queues.run_cycle(now):
             moved += 1
             if isinstance(answer, Send):
                 out.append((now + latency, event))
@@ -113,16 +113,16 @@
     queues = PendingQueues(counted)
     first = router.add_event(0.0, 0, 0, 60_000.0)
     queues.add(first, 0.0)
-    assert isinstance(queues.tick(0.0)[0][1], Send)
+    assert isinstance(queues.run_cycle(0.0)[0][1], Send)
     router.record_outcome(first, SendOutcome.RATE_LIMITED, 5.0, 5.0, retry_after_ms=1500.0)
     queues.wake(first.destination)
     for _ in range(10_000):
         queues.add(router.add_event(5.0, 0, 0, 60_000.0), 5.0)
     counted.asked = 0
     for now in range(10, 1500, 5):
-        assert queues.tick(float(now)) == []
+        assert queues.run_cycle(float(now)) == []
     assert counted.asked <= 2
-    moved = [at for now in range(1500, 4000, 5) for at in [now] * len(queues.tick(float(now)))]
+    moved = [at for now in range(1500, 4000, 5) for at in [now] * len(queues.run_cycle(float(now)))]
     assert moved and moved[0] >= 1505 and counted.asked < 4 * len(moved) + 10
 
 
@@ -134,7 +134,7 @@
         left[event] = event.expires_at
         queues.add(event, 0.0)
     for now in range(0, 1000, 5):
-        for event, answer in queues.tick(float(now)):
+        for event, answer in queues.run_cycle(float(now)):
             if not isinstance(answer, Send):
                 ended[event] = float(now)
                 queues.remove(event)
@@ -151,7 +151,7 @@
     for event in reversed(events):
         queues.add(event, 0.0)
     for now in range(0, 200, 5):
-        for event, _ in queues.tick(float(now)):
+        for event, _ in queues.run_cycle(float(now)):
             lines.append(events.index(event))
             router.record_outcome(event, SendOutcome.ACKED, now + 1.0, 1.0, is_finished=True)
             queues.wake(event.destination)
@@ -168,12 +168,12 @@
     order = sorted(events, key=lambda event: router.urgency_rank(event, span, 0.0))
     for event in events:
         queues.add(event, 0.0)
-    gone = {event for event, answer in queues.tick(0.0) if isinstance(answer, Reject)}
+    gone = {event for event, answer in queues.run_cycle(0.0) if isinstance(answer, Reject)}
     assert gone == set(order[-15:]) and not router.is_over_capacity()
 
 
 class QueuedEvent(NamedTuple):
-    """What became of one event in a tick, comparable between a router and its copy."""
+    """What became of one event in a scheduling cycle, comparable between a router and its copy."""
 
     ticket: int
     answer_type: type
@@ -186,13 +186,13 @@
 
 
 class NaiveQueue:
-    """Asks for every event in each tick: those at their deadline first, the rest in the router's order."""
+    """Asks for every event in each cycle: those at their deadline first, the rest in the router's order."""
 
     def __init__(self, router, events):
         self.router = router
         self.events = set(events)
 
-    def tick(self, now):
+    def run_cycle(self, now):
         ending = [event for event in self.events if now >= self.router.give_up_at(event, now)]
         decided = self._ask(ending, now)
         others = self.router.sort_by_urgency(self.events - set(ending), now)
@@ -204,7 +204,7 @@
 
 
 class RandomRun:
-    """Random events and outcomes; some ticks are compared with asking a copy of the router for all events."""
+    """Random events and outcomes; some cycles are compared with asking a router's copy for all events."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -213,7 +213,7 @@
             rate=self.random.choice([0.0, 20.0, 60.0]),
             endpoints=3,
             max_calls_in_flight=self.random.choice([3, 8, 40]),
-            ordering_rest_ms=100.0,
+            ordering_pause_ms=100.0,
             warm_up_ms=60_000.0,
         )
         self.queues = PendingQueues(self.router)
@@ -229,7 +229,7 @@
             self._record_outcomes(now)
             if now < 4000.0 and self.random.random() < 0.5:
                 self._submit(now)
-            self._tick(now)
+            self._run_cycle(now)
 
     def _record_outcomes(self, now):
         for arrival in [arrival for arrival in self.in_flight if arrival[0] <= now]:
@@ -266,11 +266,11 @@
         self.pending[event] = True
         self.queues.add(event, now)
 
-    def _tick(self, now):
+    def _run_cycle(self, now):
         expected = None
         if self.random.random() < 0.4:
-            expected = NaiveQueue(*copy.deepcopy((self.router, list(self.pending)))).tick(now)
-        decisions = self.queues.tick(now)
+            expected = NaiveQueue(*copy.deepcopy((self.router, list(self.pending)))).run_cycle(now)
+        decisions = self.queues.run_cycle(now)
         decided = [QueuedEvent.of(event, answer) for event, answer in decisions]
         self.decided_count += len(decided)
         # A send elsewhere can let a destination off its part of scarce slots: that is seen at the next
@@ -317,7 +317,7 @@
             router.record_outcome(event, SendOutcome.ACKED, now, 2.0, is_finished=True)
             queues.wake(event.destination)
             queues.remove(event)
-        out = [event for event, answer in queues.tick(now) if isinstance(answer, Send)]
+        out = [event for event, answer in queues.run_cycle(now) if isinstance(answer, Send)]
     assert len(queues) < 10
     assert len(queues.event_timers.heap) < 200 and len(queues.group_timers.heap) < 60
     assert len(queues.event_timers.deadlines) == len(queues)
@@ -335,11 +335,11 @@
     assert sorted(events, key=lambda event: router.urgency_rank(event, 1000.0, 0.0)) == events
     for event in events:
         queues.add(event, 0.0)
-    assert [event for event, _ in queues.tick(0.0)] == [first, last] and short in queues.group_of
+    assert [event for event, _ in queues.run_cycle(0.0)] == [first, last] and short in queues.group_of
 
 
 def test_an_event_asked_out_of_order_that_comes_back_moves_once():
-    """It had two entries in its group and was rejected by both, which broke off the tick."""
+    """It had two entries in its group and was rejected by both, which broke off the scheduling cycle."""
     router = make_router(
         2,
         rate=4.0,
@@ -352,12 +352,12 @@
     first, short, last = events = [router.add_event(0.0, 0, 0, left) for left in (9000.0, 500.0, 10000.0)]
     for event in events:
         queues.add(event, 0.0)
-    assert [event for event, _ in queues.tick(0.0)] == [first, last]
+    assert [event for event, _ in queues.run_cycle(0.0)] == [first, last]
     for event in (first, last):
         router.record_outcome(event, SendOutcome.RATE_LIMITED, 50.0, 50.0)
         queues.add(event, 50.0)
     router.pending.capacity = 1
-    moved = [event for event, _ in queues.tick(60.0)]
+    moved = [event for event, _ in queues.run_cycle(60.0)]
     assert len(moved) == len(set(moved)) == 2 and len(queues) == 1
     groups = queues.groups.values()
     assert sum(group.is_current(entry) for group in groups for entry in group.entries) == 1
--- a/tests/storage/test_duplicate_submissions.py
+++ b/tests/storage/test_duplicate_submissions.py
@@ -30,7 +30,7 @@
 def test_a_recently_ended_id_is_known_after_a_restart_and_in_a_compacted_log(tmp_path, is_compacted):
     now = [NOW]
     with open_log(tmp_path, lambda: now[0]) as log:
-        assert log.append_taken(pending_event())
+        assert log.append_accepted(pending_event())
         assert log.matches_known_event(pending_event("evt-2")) is None
         log.append_ended(log.pending["evt-1"])
         if is_compacted:
@@ -63,7 +63,7 @@
 )
 def test_another_submission_under_a_known_id_is_not_the_same(tmp_path, other, is_ended):
     with open_log(tmp_path) as log:
-        assert log.append_taken(pending_event())
+        assert log.append_accepted(pending_event())
         if is_ended:
             log.append_ended(log.pending["evt-1"])
         assert log.matches_known_event(pending_event(**other)) is False
--- a/tests/storage/test_full_disk.py
+++ b/tests/storage/test_full_disk.py
@@ -31,11 +31,11 @@
 folder, outcome = sys.argv[1:]
 log = open_log(folder)
 events = [pending_event("evt-0"), pending_event("evt-1"), pending_event("evt-2")]
-assert all(map(log.append_taken, events))
+assert all(map(log.append_accepted, events))
 hard = resource.getrlimit(resource.RLIMIT_FSIZE)[1]
 resource.setrlimit(resource.RLIMIT_FSIZE, (os.path.getsize(log.path), hard))
 assert not log.append_sent(events[1], 1)
-assert not log.append_taken(pending_event("evt-3"))
+assert not log.append_accepted(pending_event("evt-3"))
 assert log.append_decision(events[1], Decision(FinalOutcome(outcome), 500.0))
 """
 
@@ -74,7 +74,7 @@
     """Left there, it and all after it would be lost to the next start, records of sends included."""
     log = open_log(tmp_path)
     events = [pending_event("evt-0"), pending_event("evt-1")]
-    assert all(map(log.append_taken, events))
+    assert all(map(log.append_accepted, events))
     write = os.write
 
     def write_partially(descriptor, data):
--- a/tests/storage/test_log_recovery.py
+++ b/tests/storage/test_log_recovery.py
@@ -23,7 +23,7 @@
     with open_log(folder) as log:
         for event in events:
             offsets.append(log.size)
-            assert log.append_taken(event)
+            assert log.append_accepted(event)
         for event in (events[2], events[0]):
             offsets.append(log.size)
             assert log.append_sent(event, 1)
@@ -93,7 +93,7 @@
     with open_log(tmp_path) as log:
         assert log.unreadable_ranges == [(0, 12900)]
         assert not log.pending
-        assert log.append_taken(pending_event("evt-1"))
+        assert log.append_accepted(pending_event("evt-1"))
     assert list(possible_executions(open_log(tmp_path))) == ["evt-1"]
 
 
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -11,7 +11,7 @@
 from itertools import count
 
 from support.fake_servers import FakeDiscovery
-from swiftthread.storage.records import ENDED, TAKEN, records
+from swiftthread.storage.records import ACCEPTED, ENDED, records
 
 
 def stream_profile(name, effect, **more):
@@ -171,11 +171,11 @@
         """Ids of the events that are pending by its write-ahead log."""
         held = {}
         for _, _, kind, payload in records(self.log_path().read_bytes()):
-            if kind in (TAKEN, ENDED):
+            if kind in (ACCEPTED, ENDED):
                 row = json.loads(
-                    payload[4 : 4 + struct.unpack_from("<I", payload)[0]] if kind == TAKEN else payload
+                    payload[4 : 4 + struct.unpack_from("<I", payload)[0]] if kind == ACCEPTED else payload
                 )
-                held[row[0]] = kind == TAKEN
+                held[row[0]] = kind == ACCEPTED
         return {ident for ident, is_held in held.items() if is_held}
 
 
--- a/tests/support/simulated_node.py
+++ b/tests/support/simulated_node.py
@@ -118,7 +118,12 @@
         self.say(f"probe {endpoint}")
         delay, outcome, *_ = self.answers(None, endpoint, self.now) or (1000.0, SendOutcome.TIMED_OUT)
         self.schedule(
-            self.now + delay, self.session.router.record_probe, endpoint, outcome, self.now + delay, delay
+            self.now + delay,
+            self.session.router.record_health_check,
+            endpoint,
+            outcome,
+            self.now + delay,
+            delay,
         )
 
     def close_idle(self, _node, endpoint):
