--- a/swiftthread/lab/control_channel.py
+++ b/swiftthread/lab/control_channel.py
@@ -1,4 +1,4 @@
-"""The commands that a process of a run reads from its standard input: `go ARGUMENT...` and `stop`."""
+"""The commands that the runner sends to the standard input of a process: `go ARGUMENT...` and `stop`."""
 
 import asyncio
 import sys
@@ -6,7 +6,7 @@
 
 
 async def open_stdin() -> asyncio.StreamReader:
-    """Return standard input, which must be a pipe, as a stream."""
+    """Return a stream reader of standard input, which must be a pipe."""
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
@@ -15,7 +15,7 @@
 
 
 async def go_commands(reader: asyncio.StreamReader) -> AsyncIterator[list[str]]:
-    """Yield the arguments of each `go` until `stop`, an empty line or the end of the stream."""
+    """Yield the arguments of each `go` command until `stop`, an empty line or the end of the stream."""
     while words := (await reader.readline()).decode().split():
         command, *arguments = words
         if command == "stop":
--- a/swiftthread/lab/emulator/__init__.py
+++ b/swiftthread/lab/emulator/__init__.py
@@ -1,7 +1,7 @@
-"""Endpoints, discovery and the platform on loopback sockets, from one process.
+"""One process that emulates endpoints, discovery and the platform on loopback sockets.
 
-The receiver model says how endpoints behave; this package puts it behind sockets. Its connections are asyncio
-protocols that call back, and it measures how late its own event loop runs.
+The receiver model decides how endpoints behave, and this package serves that model over sockets. Connections
+are asyncio protocols that call back, and the process measures the lag of its own event loop.
 """
 
 from swiftthread.lab.emulator.process import serve
--- a/swiftthread/lab/emulator/discovery.py
+++ b/swiftthread/lab/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery as each node sees it: the endpoint list, a watch on it, and the platform's status endpoint."""
+"""The discovery server of each node: the endpoint list, watches on it, and the platform's status endpoint."""
 
 import asyncio
 import json
@@ -16,14 +16,14 @@
 )
 
 WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-WATCH_HEARTBEAT = b"\n"  # the watch's protocol asks for an empty line from time to time
+WATCH_HEARTBEAT = b"\n"  # The watch protocol requires an empty line at intervals.
 
 NotificationHandler = Callable[[NotificationReceived], None]
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """An entry of the endpoint list; fields and their order are those of the protocol."""
+    """An entry of the endpoint list, with the fields of the protocol in the protocol's order."""
 
     id: str
     addr: str
@@ -36,18 +36,18 @@
 
 
 class DiscoveryConnection(HttpServerConnection):
-    """A connection of one node to its discovery server."""
+    """A connection from a node to its discovery server."""
 
     def __init__(self, discovery: "DiscoveryServer") -> None:
         super().__init__()
         self._discovery = discovery
 
     def on_request(self, request: HttpRequest) -> None:
-        """Take notifications, or answer with the endpoint list or a watch on it."""
+        """Record posted notifications, or respond with the endpoint list or a watch on it."""
         if request.method == "POST" and request.target == "/status":
             self._discovery.on_status_posted(request.body)
             self.transport.write(encode_response(204))
-        elif self._discovery.is_silent:
+        elif self._discovery.is_unresponsive:
             return
         elif "watch=1" in request.target:
             self.transport.write(WATCH_RESPONSE_HEAD)
@@ -57,27 +57,27 @@
             self.transport.write(encode_response(200, body=body))
 
     def write_chunk(self, data: bytes) -> None:
-        """Write a chunk of a watch."""
+        """Write data to a watch as one chunk of the chunked encoding."""
         self.transport.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the watch, if it is one; see `asyncio.Protocol`."""
+        """Remove the connection from the watches if it is one; see `asyncio.Protocol`."""
         self._discovery.remove_watch(self)
 
 
 class DiscoveryServer:
-    """Discovery as one node sees it.
+    """The discovery server of one node.
 
     Args:
-        node: The node's name.
-        entries: The endpoints that it lists at first.
-        delay_ms: How late it learns of changes; whoever announces them waits that long.
-        record_writer: Where announced states are recorded.
+        node: The name of the node.
+        entries: The initial entries of the endpoint list.
+        delay_ms: The delay from a change to its announcement. The caller of `apply_changes` waits for it.
+        record_writer: Writes a record of each announced state.
         on_notification: Called with each notification that the node posts.
 
     Attributes:
-        address: Where it listens, as host:port, once it is open.
-        is_silent: Whether it leaves requests for the list unanswered.
+        address: The listening address as host:port, set by `open`.
+        is_unresponsive: Whether requests for the list get no response.
     """
 
     address: str
@@ -91,7 +91,7 @@
         on_notification: NotificationHandler,
     ) -> None:
         self.delay_ms = delay_ms
-        self.is_silent = False
+        self.is_unresponsive = False
         self._node = node
         self._entries = {entry.id: entry for entry in entries}
         self._version = 1
@@ -105,27 +105,27 @@
         self.address = address_of(self._server.sockets[0])
 
     def full_list(self) -> dict[str, object]:
-        """Return the whole endpoint list as it is sent."""
+        """Return the full endpoint list as a list document."""
         return self._encode_list(self._entries.values(), is_full=True)
 
     def _encode_list(self, entries: Iterable[EndpointEntry], *, is_full: bool) -> dict[str, object]:
         return {"version": self._version, "full": is_full, "servers": [asdict(entry) for entry in entries]}
 
     def add_watch(self, connection: DiscoveryConnection) -> None:
-        """Send the whole list to a watch, and changes from now on."""
+        """Send the full list to a watch now, and later changes as they are applied."""
         self._watches[connection] = True
         connection.write_chunk(_encode_line(self.full_list()))
 
     def remove_watch(self, connection: DiscoveryConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection from the watches."""
         self._watches.pop(connection, None)
 
     def apply_changes(self, changed_entries: list[EndpointEntry]) -> None:
-        """Change the list and send the changes; they count as announced once they are written."""
+        """Change the list and send the changes to all watches; record them as announced once written."""
         self._version += 1
         for entry in changed_entries:
             self._entries[entry.id] = entry
-        if not self.is_silent:
+        if not self.is_unresponsive:
             line = _encode_line(self._encode_list(changed_entries, is_full=False))
             for watch in self._watches:
                 watch.write_chunk(line)
@@ -141,28 +141,29 @@
             )
 
     def on_status_posted(self, body: bytes) -> None:
-        """Take notifications, one JSON object a line."""
+        """Pass on the notifications in a request body, one JSON object per line."""
         for line in body.splitlines():
-            row = json.loads(line)
+            notification = json.loads(line)
             self._on_notification(
                 NotificationReceived(
                     monotonic_ms(),
                     self._node,
-                    row["message"],
-                    row["outcome"],
-                    row.get("retry_in_ms", 0.0),
+                    notification["message"],
+                    notification["outcome"],
+                    notification.get("retry_in_ms", 0.0),
                 )
             )
 
-    def silence_for(self, duration_ms: float) -> None:
-        """Leave requests unanswered and changes unsent for a time."""
-        self.is_silent = True
+    def stop_responding_for(self, duration_ms: float) -> None:
+        """Send no responses to list requests and no changes to watches for this duration."""
+        self.is_unresponsive = True
         asyncio.get_running_loop().call_later(duration_ms / 1000.0, self._resume)
 
     def _resume(self) -> None:
-        self.is_silent = False
+        self.is_unresponsive = False
         self._record_states(self._entries.values())
-        self.drop_watches()  # a new watch begins with the whole list, and so with what was missed
+        # A new watch starts with the full list, and so with the changes that were not sent.
+        self.drop_watches()
 
     def drop_watches(self) -> None:
         """Abort the connections of all watches."""
@@ -171,7 +172,7 @@
 
     def send_heartbeats(self) -> None:
         """Send an empty line to each watch."""
-        if self.is_silent:
+        if self.is_unresponsive:
             return
         for watch in self._watches:
             watch.write_chunk(WATCH_HEARTBEAT)
--- a/swiftthread/lab/emulator/emulator.py
+++ b/swiftthread/lab/emulator/emulator.py
@@ -1,4 +1,4 @@
-"""The emulator of one incident: it builds the parts, opens them and runs the timeline."""
+"""The emulator of one incident: builds its endpoints and discovery servers, opens them, runs the timeline."""
 
 import random
 from dataclasses import dataclass
@@ -17,18 +17,19 @@
 from swiftthread.lab.receivers import Destination, Endpoint, service_time_sampler
 from swiftthread.lab.run_records import DestinationChanged, RecordWriter, monotonic_ms
 
-WATCH_HEARTBEAT_INTERVAL_MS = 2000.0  # ms between empty lines on a watch, the protocol's
-DISCOVERY_DELAY_SPREAD = (0.5, 1.5)  # x the incident's delay, drawn for each node
+WATCH_HEARTBEAT_INTERVAL_MS = 2000.0  # The watch protocol specifies the interval between empty lines.
+# The discovery delay of each node is the incident's delay times a factor that is drawn from this range.
+DISCOVERY_DELAY_FACTORS = (0.5, 1.5)
 ENDPOINT_KIND = "plain"
 
 
 @dataclass(frozen=True, slots=True)
 class EmulatorAddresses:
-    """What whoever starts the nodes and clients needs of the emulator.
+    """The addresses and the endpoint list that nodes and clients are started with.
 
     Attributes:
         discovery: The address of each node's discovery server.
-        known: The endpoint list at the start, as discovery sends it.
+        known: The initial endpoint list, as discovery sends it.
         feed: The address of the notification feed.
     """
 
@@ -38,14 +39,14 @@
 
 
 class Emulator:
-    """Owner of all endpoint listeners and discovery servers of a run.
+    """Owns all endpoint listeners and discovery servers of a run.
 
-    It opens within a running event loop.
+    `open` must be called within a running event loop.
 
     Args:
-        incident: What happens.
-        seed: Of all chance.
-        record_writer: Where it records what happens.
+        incident: The receivers, fleet and timeline to emulate.
+        seed: The seed of all random draws.
+        record_writer: Writes the records of the run.
     """
 
     def __init__(self, incident: Incident, seed: int, record_writer: RecordWriter) -> None:
@@ -57,14 +58,14 @@
         self._entries: dict[str, EndpointEntry] = {}
         self._discovery_servers: list[DiscoveryServer] = []
         self._feed = NotificationFeed(record_writer)
-        self._calls = CallDispatcher(self._receivers, self._listeners, record_writer)
+        self._call_dispatcher = CallDispatcher(self._receivers, self._listeners, record_writer)
         self._fault_injector = FaultInjector(
             incident,
             self._receivers,
             self._listeners,
             self._entries,
             self._discovery_servers,
-            self._calls,
+            self._call_dispatcher,
             record_writer,
         )
 
@@ -76,7 +77,7 @@
             )
 
     async def open(self) -> EmulatorAddresses:
-        """Let everything listen, except for spare endpoints."""
+        """Start to listen on all sockets except those of spare endpoints."""
         for name, number, settings, zone, is_spare in self._incident.endpoints():
             self._add_endpoint(name, number, settings, zone, is_spare)
         await self._open_discovery()
@@ -106,7 +107,9 @@
             mean_service_ms=settings.service_ms,
         )
         endpoint.is_removed = is_spare
-        listener = EndpointListener(self._receivers.add(endpoint), self._receivers, self._rng, self._calls)
+        listener = EndpointListener(
+            self._receivers.add(endpoint), self._receivers, self._rng, self._call_dispatcher
+        )
         self._listeners[name] = listener
         self._entries[name] = EndpointEntry(
             id=name,
@@ -126,15 +129,15 @@
             entry for name, entry in self._entries.items() if not self._receivers.endpoints[name].is_removed
         ]
         for node in range(self._incident.fleet.nodes):
-            delay_ms = self._incident.rules.list_delay_ms * self._rng.uniform(*DISCOVERY_DELAY_SPREAD)
+            delay_ms = self._incident.rules.list_delay_ms * self._rng.uniform(*DISCOVERY_DELAY_FACTORS)
             discovery = DiscoveryServer(
                 f"n{node}", listed_entries, delay_ms, self._record_writer, self._feed.publish
             )
             await discovery.open()
             self._discovery_servers.append(discovery)
 
-    async def play(self, started_at: float) -> None:
-        """Run the incident's timeline from this moment on, in ms, until cancelled."""
+    async def run_timeline(self, started_at: float) -> None:
+        """Run the timeline, which starts at `started_at` (ms of the monotonic clock), until cancelled."""
         self._fault_injector.schedule_steps(started_at)
         lag_monitor = EventLoopLagMonitor("emulator", self._record_writer)
         heartbeat_at = monotonic_ms()
@@ -147,7 +150,7 @@
                     discovery.send_heartbeats()
 
     def close(self) -> None:
-        """Close all endpoints; the servers of discovery end with the event loop."""
+        """Close all endpoints; the discovery servers close with the event loop."""
         for listener in self._listeners.values():
             listener.close()
 
--- a/swiftthread/lab/emulator/endpoint_listener.py
+++ b/swiftthread/lab/emulator/endpoint_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket of one emulated endpoint, its connections, and the faults of both."""
+"""The listening socket and connections of one emulated endpoint, and the faults injected into them."""
 
 import asyncio
 import base64
@@ -15,51 +15,51 @@
 from swiftthread.lab.receiver_model import ReceiverModel
 from swiftthread.lab.receivers import Call, Endpoint
 
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
-ACCEPTS_PER_EVENT = 64  # connections accepted before other events have their turn
-BACKLOG_FILLERS = 3  # connections that fill the queue of a listener with a backlog of 0
+LISTEN_BACKLOG = 1024
+MAX_ACCEPTS_PER_EVENT = 64  # After this many connections, other events of the loop run before the next ones.
+BACKLOG_FILLERS = 3  # This many connections fill the accept queue of a socket with a backlog of 0.
 BATCH_TARGET = "/receive-many"
 
-SLOW_IO_CHUNK_BYTES = 64  # bytes that a slow reader or writer takes at once
-SLOW_IO_INTERVAL_MS = 20.0  # ms between two of its chunks
-SLOW_READ_BUFFER_BYTES = 4096  # of a slow reader's socket, so that the caller's writes find a full window
+SLOW_IO_CHUNK_BYTES = 64  # A slow reader or writer transfers at most this much per interval.
+SLOW_IO_INTERVAL_MS = 20.0
+SLOW_READ_BUFFER_BYTES = 4096  # The small receive buffer makes the caller's writes meet a full TCP window.
 
 
 class CallHandler(Protocol):
-    """What a listener needs of whoever answers the requests of its connections."""
+    """Handles the requests of a listener's connections."""
 
     def on_health_check(self, connection: "EndpointConnection") -> None:
-        """A health check was received."""
+        """Handle a health check."""
 
     def on_call_received(
         self, connection: "EndpointConnection", event_ids: list[str], request: HttpRequest
     ) -> None:
-        """A call that delivers events was received."""
+        """Handle a call that delivers events."""
 
     def on_caller_disconnected(self, call: Call) -> None:
-        """The connection of a call that waits for its answer was closed."""
+        """Handle the close of a connection whose call has no response yet."""
 
 
 class EndpointConnection(HttpServerConnection):
     """A connection to an endpoint.
 
     Attributes:
-        listener: What accepted it.
-        call: The call on it that waits for its answer, if there is one.
+        listener: The listener that accepted it.
+        call: The call on it that has no response yet, if there is one.
     """
 
     def __init__(self, listener: "EndpointListener") -> None:
         super().__init__()
         self.listener = listener
         self.call: Call | None = None
-        self._is_counted = False
+        self._has_connection_slot = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a place in the endpoint's connection table, or reset the connection."""
+        """Count the connection, or reset it if the endpoint has reached its connection limit or is down."""
         super().connection_made(transport)
         self.listener.connections[self] = True
-        self._is_counted = self.listener.receivers.open_connection(self.listener.endpoint)
-        if not self._is_counted:
+        self._has_connection_slot = self.listener.receivers.open_connection(self.listener.endpoint)
+        if not self._has_connection_slot:
             self.reset()
         elif self.listener.has_fault(FaultKind.SLOW_READ):
             self._throttle_reading()
@@ -68,7 +68,7 @@
         """Read one chunk, then pause."""
         sock = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READ_BUFFER_BYTES)
-        # How much the transport reads at once; asyncio has no public name for it.
+        # `max_size` is how much the transport reads at once; asyncio has no public name for it.
         self.transport.max_size = SLOW_IO_CHUNK_BYTES  # type: ignore[attr-defined]
         self.transport.pause_reading()
         asyncio.get_running_loop().call_later(SLOW_IO_INTERVAL_MS / 1000.0, self._resume_reading)
@@ -78,8 +78,8 @@
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Parse, unless a fault strikes first; see `asyncio.Protocol`."""
-        if self.listener.strikes(FaultKind.RESET_BEFORE_REQUEST):
+        """Parse the data, or reset the connection if that fault is drawn; see `asyncio.Protocol`."""
+        if self.listener.should_inject(FaultKind.RESET_BEFORE_REQUEST):
             self.reset()
             return
         super().data_received(data)
@@ -87,7 +87,7 @@
             self._throttle_reading()
 
     def on_request(self, request: HttpRequest) -> None:
-        """Pass a health check or call on; answer a malformed batch with 400."""
+        """Pass a health check or call to the handler; respond to a malformed batch with 400."""
         handler = self.listener.call_handler
         if request.method == "GET":
             handler.on_health_check(self)
@@ -100,7 +100,7 @@
         handler.on_call_received(self, event_ids, request)
 
     def write_response(self, data: bytes) -> None:
-        """Write an encoded response, in small pieces if the endpoint is a slow writer."""
+        """Write an encoded response, in small chunks if the endpoint is a slow writer."""
         if self.listener.has_fault(FaultKind.SLOW_WRITE):
             self._write_slowly(data)
         else:
@@ -114,9 +114,9 @@
         asyncio.get_running_loop().call_later(SLOW_IO_INTERVAL_MS / 1000.0, self._write_slowly, rest)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give the place in the connection table back; see `asyncio.Protocol`."""
+        """Release the connection and report the close if a call has no response; see `asyncio.Protocol`."""
         self.listener.connections.pop(self, None)
-        if self._is_counted:
+        if self._has_connection_slot:
             self.listener.receivers.close_connection(self.listener.endpoint)
         if self.call is not None:
             call = self.call
@@ -132,22 +132,22 @@
     """
     if request.target != BATCH_TARGET:
         return [request.headers.get("x-txn", "")]
-    rows = json.loads(request.body)
-    for row in rows:
-        base64.b64decode(row["body"])
-    return [row["id"] for row in rows]
+    events = json.loads(request.body)
+    for event in events:
+        base64.b64decode(event["body"])
+    return [event["id"] for event in events]
 
 
 class EndpointListener:
-    """Owner of the listening socket of one endpoint and of its connections.
+    """Owns the listening socket of one endpoint and the connections accepted from it.
 
     Attributes:
         endpoint: The endpoint in the receiver model.
-        receivers: That model.
-        call_handler: What answers the requests.
-        address: Where it listens, as host:port.
+        receivers: The receiver model.
+        call_handler: Handles the requests of the connections.
+        address: The listening address as host:port.
         connections: The open connections, in the order in which they were accepted.
-        active_faults: The socket faults that it has, with the share of data or connections they strike.
+        active_faults: The injected socket faults, with the share of reads or connections that each affects.
     """
 
     def __init__(
@@ -167,23 +167,23 @@
         self.address = address_of(self._socket)
 
     def has_fault(self, kind: FaultKind) -> bool:
-        """Return whether it has a socket fault."""
+        """Return whether this socket fault is injected, with any share above 0."""
         return bool(self.active_faults.get(kind))
 
-    def strikes(self, kind: FaultKind) -> bool:
-        """Draw whether a socket fault strikes this time."""
+    def should_inject(self, kind: FaultKind) -> bool:
+        """Draw whether a socket fault takes effect this time, with the probability of its share."""
         share = self.active_faults.get(kind, 0.0)
         return share > 0.0 and self._rng.random() < share
 
     def open(self) -> None:
-        """Listen, if it does not yet."""
+        """Start to listen, unless it listens already."""
         if not self._is_listening:
             self._socket.listen(LISTEN_BACKLOG)
             self._loop.add_reader(self._socket, self._accept)
             self._is_listening = True
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS_PER_EVENT):
+        for _ in range(MAX_ACCEPTS_PER_EVENT):
             try:
                 sock, _ = self._socket.accept()
             except OSError:
@@ -192,22 +192,22 @@
             self._tasks.spawn(self._connect(sock))
 
     async def _connect(self, sock: socket.socket) -> None:
-        with suppress(OSError):  # the caller has left already
+        with suppress(OSError):  # The caller has disconnected already.
             await self._loop.connect_accepted_socket(lambda: EndpointConnection(self), sock)
 
     def refuse_connections(self) -> None:
-        """Stop listening and reset what is open."""
-        self.end_silence()
+        """Stop listening and reset all open connections."""
+        self.end_unresponsiveness()
         if self._is_listening:
             self._loop.remove_reader(self._socket)
-            self._socket.shutdown(socket.SHUT_RDWR)  # on Linux it stops to listen and keeps its port
+            self._socket.shutdown(socket.SHUT_RDWR)  # On Linux, this ends listening and holds the port.
             self._is_listening = False
         self._reset_connections()
 
-    def go_silent(self) -> None:
-        """Let new connections hang and stop reading from open ones.
+    def become_unresponsive(self) -> None:
+        """Leave new connections unanswered and stop reading from open ones.
 
-        The queue of connections to accept is made full, so that the kernel answers no further one.
+        Connections from this process fill the accept queue, so that the kernel accepts no further one.
         """
         if self._is_listening:
             self._loop.remove_reader(self._socket)
@@ -224,8 +224,8 @@
             filler.connect_ex(self._socket.getsockname())
             self._backlog_fillers.append(filler)
 
-    def end_silence(self) -> None:
-        """Reset what was open, if it was silent."""
+    def end_unresponsiveness(self) -> None:
+        """If the endpoint is unresponsive, empty its accept queue and reset all open connections."""
         if not self._backlog_fillers:
             return
         for filler in self._backlog_fillers:
--- a/swiftthread/lab/emulator/notification_feed.py
+++ b/swiftthread/lab/emulator/notification_feed.py
@@ -1,4 +1,4 @@
-"""A feed of the events that nodes handed back, for the clients that submit them again."""
+"""A feed of the events that nodes rejected after accepting them, for the clients that resubmit them."""
 
 import json
 
@@ -9,14 +9,14 @@
 
 
 class FeedConnection(HttpServerConnection):
-    """The connection of a client that follows the feed once it has made a request."""
+    """A connection of a client, which is subscribed to the feed by its first request."""
 
     def __init__(self, feed: "NotificationFeed") -> None:
         super().__init__()
         self._feed = feed
 
     def on_request(self, request: HttpRequest) -> None:
-        """Subscribe; there is no response head, lines follow."""
+        """Subscribe the connection; lines follow without a response head."""
         self._feed.subscribers[self] = True
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -25,11 +25,11 @@
 
 
 class NotificationFeed:
-    """Records notifications of nodes, and sends those of events handed back to all subscribers.
+    """Records the notifications of nodes, and sends those with the outcome `handed_back` to all subscribers.
 
     Attributes:
-        address: Where it listens, as host:port, once it is open.
-        subscribers: The clients that follow it.
+        address: The listening address as host:port, set by `open`.
+        subscribers: The connections that receive the notifications.
     """
 
     address: str
@@ -44,7 +44,7 @@
         self.address = address_of(self._server.sockets[0])
 
     def publish(self, notification: NotificationReceived) -> None:
-        """Record a notification and send it on as a line `[event id, Retry-After in ms]`."""
+        """Record a notification; send `[event id, Retry-After in ms]` as a line if it is `handed_back`."""
         self._record_writer.write(notification)
         if notification.outcome != EventOutcome.HANDED_BACK:
             return
--- a/swiftthread/lab/faults.py
+++ b/swiftthread/lab/faults.py
@@ -5,51 +5,51 @@
 
 
 class FaultKind(StrEnum):
-    """What happens to an endpoint; the values are those of `what` in an incident file."""
+    """The kinds of faults; the values are those of `what` in an incident file."""
 
     REFUSE_CONNECTIONS = "refuse"
-    """Connections are refused; open ones are reset and calls in flight lost."""
-    GO_SILENT = "vanish"
+    """Connections are refused; open connections are reset and calls in flight are lost."""
+    BECOME_UNRESPONSIVE = "vanish"
     """Connections are neither accepted nor refused; calls in flight are lost."""
     ERRORS = "errors"
-    """A share of the calls is answered with 500."""
+    """A share of the calls gets a response with the status 500."""
     RESET_AFTER_REQUEST = "reset_after"
-    """A share of the connections is reset once the request is read."""
+    """A share of the connections is reset after the request was read."""
     TRUNCATE_RESPONSES = "half_answers"
-    """A share of the responses breaks off."""
+    """A share of the responses is truncated and the connection closed."""
     WITHHOLD_RESPONSES = "swallow"
-    """A share of the calls is never answered."""
+    """A share of the calls never gets a response."""
     REJECT = "full"
     """A share of the calls is rejected with 429."""
     DESTINATION_UNAVAILABLE = "shut"
-    """Every call to the destination is rejected with 429 for a time."""
+    """All calls to the destination are rejected with 429 for the duration of the fault."""
     SLOW_DOWN = "slow"
     """Service times are multiplied by a factor."""
     CHANGE_RATE_LIMIT = "limit"
-    """The destination's rate limit is its configured one times a factor."""
+    """The rate limit of the destination is its configured rate limit times a factor."""
     PAUSE = "pause"
-    """Calls in flight and new ones make no progress for a time."""
+    """Calls in flight and new calls make no progress for the duration of the fault."""
     DRAIN = "drain"
-    """New calls are rejected with 503; calls in flight are finished."""
+    """New calls are rejected with 503; calls in flight are completed."""
     REMOVE = "gone"
     """The endpoint is deleted from the list and rejects calls with 503."""
     JOIN = "join"
     """A spare endpoint starts to serve and is added to the list."""
     HEAL = "heal"
-    """Every fault of the endpoint ends, and those of its destination with them."""
+    """All faults of the endpoint end, and with them those of its destination."""
     RESET_BEFORE_REQUEST = "reset_before"
-    """A share of the connections is reset as data arrives, before it is read."""
+    """A share of the connections is reset when data arrives, before the request is parsed."""
     SLOW_READ = "slow_read"
-    """Requests are read in small pieces."""
+    """Requests are read slowly, in small chunks."""
     SLOW_WRITE = "slow_write"
-    """Responses are written in small pieces."""
+    """Responses are written slowly, in small chunks."""
 
 
 SOCKET_FAULTS = frozenset({FaultKind.RESET_BEFORE_REQUEST, FaultKind.SLOW_READ, FaultKind.SLOW_WRITE})
-"""Faults of the connections alone, which the receiver model does not see."""
+"""Faults that affect only connections and are not part of the receiver model."""
 
-SELF_ENDING_FAULTS = frozenset({FaultKind.DESTINATION_UNAVAILABLE, FaultKind.PAUSE})
-"""Faults whose end is part of them: nothing is healed after their duration."""
+SELF_EXPIRING_FAULTS = frozenset({FaultKind.DESTINATION_UNAVAILABLE, FaultKind.PAUSE})
+"""Faults that expire after their duration without a `heal`."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,10 +57,10 @@
     """A fault and its parameters; a kind ignores those that it does not need.
 
     Attributes:
-        kind: What happens.
-        share: The share of calls or connections that it strikes, 0 to 1.
-        sends_retry_after: Whether a call that it rejects is told when to come back.
-        factor: What service times or a rate limit are multiplied by.
+        kind: The kind of fault.
+        share: The share of calls or connections that it affects, 0 to 1.
+        sends_retry_after: Whether the rejection of a call has a Retry-After.
+        factor: The factor that service times or the rate limit are multiplied by.
         duration_ms: How long it lasts; 0 means until it is healed.
     """
 
--- a/swiftthread/lab/floor.py
+++ b/swiftthread/lab/floor.py
@@ -1,6 +1,6 @@
-"""The floor program: accept by h11, append to a file, answer 202, send by h11.
+"""The floor program: accept events with h11, append them to a file, respond with 202, send them with h11.
 
-It does what no node on h11 can do without, and so shows the least that such a node costs.
+It does only what every node on h11 must do, and so shows the minimum cost of such a node.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 
 from swiftthread.lab.node_configuration import NodeConfiguration, read_configuration, split_address
 
-CONNECTIONS_PER_ENDPOINT = 32  # connections to each endpoint, with at most one call in flight on each
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
-LOG_FILE = "floor"  # in the state folder
+CONNECTIONS_PER_ENDPOINT = 32  # Each connection has at most one call in flight.
+LISTEN_BACKLOG = 1024
+LOG_FILE_NAME = "floor"  # The file is in the state folder.
 LOG_FILE_MODE = 0o600
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection and its h11 parser; a subclass takes whole messages in `on_message`."""
+    """One connection and its h11 parser; a subclass handles complete messages in `on_message`."""
 
     def __init__(self, role: type[h11.CLIENT] | type[h11.SERVER]) -> None:
         self._parser = h11.Connection(role)
@@ -30,32 +30,32 @@
         self._body = bytearray()
 
     def on_message(self, message: h11.Request | h11.Response, body: bytes) -> None:
-        """Take a whole request or response."""
+        """Handle a complete request or response."""
         raise NotImplementedError
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; see `asyncio.Protocol`."""
+        """Store the transport; see `asyncio.Protocol`."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; see `asyncio.Protocol`."""
+        """Parse the data and handle each complete message; see `asyncio.Protocol`."""
         self._parser.receive_data(data)
         while True:
-            part = self._parser.next_event()
-            if part is h11.NEED_DATA or part is h11.PAUSED or isinstance(part, h11.ConnectionClosed):
+            event = self._parser.next_event()
+            if event is h11.NEED_DATA or event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
-            if isinstance(part, (h11.Request, h11.Response)):
-                self._message = part
+            if isinstance(event, (h11.Request, h11.Response)):
+                self._message = event
                 self._body = bytearray()
-            elif isinstance(part, h11.Data):
-                self._body += part.data
-            elif isinstance(part, h11.EndOfMessage):
+            elif isinstance(event, h11.Data):
+                self._body += event.data
+            elif isinstance(event, h11.EndOfMessage):
                 self._finish_message()
 
     def _finish_message(self) -> None:
         message = self._message
         body = bytes(self._body)
-        self._start_next_cycle()  # a client may make its next request from within `on_message`
+        self._start_next_cycle()  # A client connection may send its next request within `on_message`.
         self.on_message(message, body)
         self._start_next_cycle()
 
@@ -63,20 +63,20 @@
         if self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE:
             self._parser.start_next_cycle()
 
-    def send_message(self, *parts: h11.Event) -> None:
-        """Write the parts of one message together."""
-        self._transport.write(b"".join(self._parser.send(part) or b"" for part in parts))
+    def send_message(self, *events: h11.Event) -> None:
+        """Write the h11 events of one message together."""
+        self._transport.write(b"".join(self._parser.send(event) or b"" for event in events))
 
 
 class IngressConnection(HttpConnection):
-    """A connection of a client."""
+    """A connection from a client."""
 
     def __init__(self, node: "FloorNode") -> None:
         super().__init__(h11.SERVER)
         self._node = node
 
     def on_message(self, message: h11.Request | h11.Response, body: bytes) -> None:
-        """Accept a submission; answer anything else with 200."""
+        """Accept a submission; respond to any other request with 200."""
         status = 200
         if isinstance(message, h11.Request) and message.method == b"POST":
             status = 202
@@ -95,24 +95,24 @@
         self._node = node
 
     def on_message(self, message: h11.Request | h11.Response, body: bytes) -> None:
-        """Become idle, whatever the answer is."""
+        """Return the connection to the idle ones, whatever the response is."""
         self._node.idle_connections.append(self)
         self._node.send_pending()
 
 
 @dataclass(frozen=True, slots=True)
 class PendingEvent:
-    """An accepted event that is not sent yet."""
+    """An accepted event that was not sent yet."""
 
     event_id: str
     body: bytes
 
 
 class FloorNode:
-    """Sends each event once, on whatever connection is idle.
+    """Sends each event once, on any idle connection.
 
     Attributes:
-        idle_connections: The connections to endpoints without a call in flight.
+        idle_connections: The connections to endpoints that have no call in flight.
     """
 
     def __init__(self, configuration: NodeConfiguration) -> None:
@@ -128,7 +128,7 @@
         self._pending.append(event)
 
     def send_pending(self) -> None:
-        """Send queued events while there are idle connections."""
+        """Send queued events until no connection is idle."""
         while self._pending and self.idle_connections:
             event = self._pending.popleft()
             headers = [
@@ -147,7 +147,7 @@
         loop = asyncio.get_running_loop()
         terminated = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, terminated.set)
-        log_path = os.path.join(self._configuration.state_folder, LOG_FILE)
+        log_path = os.path.join(self._configuration.state_folder, LOG_FILE_NAME)
         self._log_descriptor = os.open(log_path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, LOG_FILE_MODE)
         try:
             await self._connect_to_endpoints()
@@ -171,5 +171,5 @@
 
 
 def main() -> None:
-    """Run the floor program, configured by the environment, until SIGTERM."""
+    """Run the floor program until SIGTERM, with the configuration file named in the environment."""
     asyncio.run(FloorNode(read_configuration()).serve())
--- a/swiftthread/lab/http_client.py
+++ b/swiftthread/lab/http_client.py
@@ -6,12 +6,12 @@
 
 import httptools
 
-NO_STATUS = 0  # in place of a status: the connection closed without a response
+NO_STATUS = 0  # Stands in place of a status if the connection closed without a response.
 
 
 @dataclass(frozen=True, slots=True)
 class HttpReply:
-    """A response without its body; `status` is `NO_STATUS` if the connection closed first."""
+    """A response without its body; `status` is `NO_STATUS` if the connection closed without a response."""
 
     status: int
     headers: dict[str, str]
@@ -24,11 +24,12 @@
 class HttpClientConnection(asyncio.Protocol):
     """One connection with at most one request at a time.
 
-    It adds itself to `idle` when a response is complete and another request may follow, and takes itself out
-    when it closes.
+    It adds itself to the list `idle` when a response is complete and the connection can be reused, and
+    removes itself from the list when it closes.
 
     Attributes:
-        has_been_used: Set by its user once a request was made: it may have been closed since.
+        transport: The transport, set when the connection is made.
+        has_been_used: Set by the caller after a request; the server may have closed the connection since.
     """
 
     transport: asyncio.Transport
@@ -40,30 +41,30 @@
         self._headers: dict[str, str] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to parse; see `asyncio.Protocol`."""
+        """Store the transport and create the parser; see `asyncio.Protocol`."""
         self.transport = cast(asyncio.Transport, transport)
         self._parser = httptools.HttpResponseParser(self)
 
     def request(self, data: bytes) -> asyncio.Future[HttpReply]:
-        """Write an encoded request; return a future of its reply."""
+        """Write an encoded request; return a future for its reply."""
         self._pending_reply = asyncio.get_running_loop().create_future()
         self._headers = {}
         self.transport.write(data)
         return self._pending_reply
 
     def data_received(self, data: bytes) -> None:
-        """Parse; abort the connection if this is no HTTP. See `asyncio.Protocol`."""
+        """Parse the data; abort the connection if it is not valid HTTP. See `asyncio.Protocol`."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header field; see `httptools`."""
+        """Store a header field; see `httptools`."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """Deliver the reply; see `httptools`."""
+        """Complete the request with its reply, and reuse or close the connection; see `httptools`."""
         self._set_reply(HttpReply(self._parser.get_status_code(), self._headers))
         if self._parser.should_keep_alive():
             self._parser = httptools.HttpResponseParser(self)
@@ -72,7 +73,7 @@
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End a request that has no reply; see `asyncio.Protocol`."""
+        """Complete a pending request with `NO_STATUS`; see `asyncio.Protocol`."""
         if self in self._idle:
             self._idle.remove(self)
         self._set_reply(HttpReply(NO_STATUS, {}))
@@ -84,13 +85,13 @@
             pending_reply.set_result(reply)
 
     def abort(self) -> None:
-        """Close at once and drop a request that has no reply."""
+        """Close the connection at once; the future of a pending request is never completed."""
         self._pending_reply = None
         self.transport.abort()
 
 
 class ConnectionPool:
-    """Owner of the idle connections to one address; the one used last is used next."""
+    """Owns the idle connections to one address and reuses the most recently used one first."""
 
     def __init__(self, host: str, port: int) -> None:
         self._host = host
@@ -101,7 +102,7 @@
         """Return an idle connection, or a new one.
 
         Raises:
-            OSError: No connection could be made.
+            OSError: A new connection could not be made.
         """
         while True:
             connection = self._idle.pop() if self._idle else await self.connect()
@@ -112,7 +113,7 @@
         """Return a new connection.
 
         Raises:
-            OSError: It could not be made.
+            OSError: The connection could not be made.
         """
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: HttpClientConnection(self._idle), self._host, self._port
--- a/swiftthread/lab/loopback.py
+++ b/swiftthread/lab/loopback.py
@@ -1,4 +1,4 @@
-"""Listening sockets on loopback."""
+"""Listening sockets on the loopback interface."""
 
 import asyncio
 import errno
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 LOOPBACK = "127.0.0.1"
-BIND_ATTEMPTS = 50  # ports tried before it is given up
+BIND_ATTEMPTS = 50  # After this many ports that could not be bound, `bind_unused_port` fails.
 
 
 def address_of(sock: socket.socket | TransportSocket) -> str:
@@ -17,17 +17,17 @@
 
 
 def bind_unused_port() -> socket.socket:
-    """Return a socket with a port of its own that does not listen yet, so that connections are refused.
+    """Return a socket that is bound to an unused port but does not listen, so that connections are refused.
 
-    The port is bound by its number, so that it stays ours while the socket listens, stops and listens again.
+    The socket is bound by port number, so that it holds the port while it listens, stops and listens again.
 
     Raises:
-        OSError: No port is free.
+        OSError: No unused port could be bound.
     """
     for _ in range(BIND_ATTEMPTS):
-        with socket.socket() as probe:
-            probe.bind((LOOPBACK, 0))
-            address = probe.getsockname()
+        with socket.socket() as temporary_socket:
+            temporary_socket.bind((LOOPBACK, 0))
+            address = temporary_socket.getsockname()
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -37,9 +37,9 @@
             continue
         sock.setblocking(False)
         return sock
-    raise OSError(errno.EADDRINUSE, "no free port on loopback")
+    raise OSError(errno.EADDRINUSE, "no unused port on loopback could be bound")
 
 
 async def listen(protocol_factory: Callable[[], asyncio.Protocol]) -> asyncio.Server:
-    """Listen on a free port, with one protocol for each connection."""
+    """Listen on an unused port, with one protocol instance for each connection."""
     return await asyncio.get_running_loop().create_server(protocol_factory, LOOPBACK, 0)
--- a/swiftthread/lab/outcomes.py
+++ b/swiftthread/lab/outcomes.py
@@ -1,13 +1,13 @@
-"""Enumerations that the receiver model, the emulator, the baselines and the rows of a run share.
+"""Enumerations that the receiver model, the emulator, the baselines and the run records share.
 
-Their values are what stands in the rows on disk and on the wire, so they never change.
+Their values are stored in run records and sent over HTTP, so they must not change.
 """
 
 from enum import StrEnum
 
 
 class CallOutcome(StrEnum):
-    """What an endpoint did with one call."""
+    """The outcome of one call at an endpoint."""
 
     DONE = "done"
     ERROR = "error"
@@ -16,13 +16,13 @@
     RESET = "reset"
     """The connection was reset."""
     TRUNCATED = "half"
-    """The response broke off and the connection was closed."""
+    """The response was truncated and the connection closed."""
     NO_REPLY = "nothing"
-    """Silence until the caller disconnects."""
+    """No response is sent; the call stays open until the caller disconnects."""
 
 
 class DestinationChange(StrEnum):
-    """How the availability of a destination changed."""
+    """A change in the availability of a destination."""
 
     DOWN = "out"
     RECOVERED = "back"
@@ -38,12 +38,12 @@
 
 
 class EventOutcome(StrEnum):
-    """The final outcome of an accepted event that was not acknowledged, as a node notifies the platform."""
+    """The final outcome of an accepted event that was not acknowledged, as in the notification of a node."""
 
     HANDED_BACK = "handed_back"
-    """Not executed, or safe to repeat: its client may submit it again."""
+    """The event was not executed, or a repetition is safe: its client may resubmit it."""
     GIVEN_UP = "given_up"
-    """It may have been executed, and another attempt is not safe."""
+    """The event may have been executed, and another attempt is not safe."""
 
 
 class NodeState(StrEnum):
--- a/swiftthread/lab/platform_client.py
+++ b/swiftthread/lab/platform_client.py
@@ -1,4 +1,4 @@
-"""The baselines' requests to the platform: the endpoint list, and notifications of outcomes."""
+"""The requests of the baselines to the platform: endpoint lists, and notifications of outcomes."""
 
 import asyncio
 import json
@@ -7,39 +7,39 @@
 from swiftthread.lab.node_configuration import ListedEndpoint, parse_endpoint_list, split_address
 from swiftthread.lab.outcomes import EventOutcome
 
-NOTIFY_ATTEMPTS = 5  # attempts to notify of one outcome
-NOTIFY_RETRY_DELAY_S = 0.1  # s between them
+MAX_NOTIFICATION_ATTEMPTS = 5
+NOTIFICATION_RETRY_DELAY_S = 0.1
 LIST_REQUEST = b"GET /catalog/members HTTP/1.1\r\nHost: p\r\n\r\n"
 
 
 class PlatformClient:
-    """Makes each request on a connection of its own."""
+    """Makes requests to the platform, each on a new connection."""
 
     def __init__(self, address: str) -> None:
         self._host, self._port = split_address(address)
 
     async def fetch_endpoints(self) -> list[ListedEndpoint]:
-        """Return the whole endpoint list.
+        """Return the full endpoint list.
 
         Raises:
-            OSError, EOFError: There was no whole response.
-            ValueError: It was no list.
+            OSError, EOFError: The connection failed or closed before the response was complete.
+            ValueError: The response is not a list document.
         """
         return parse_endpoint_list(json.loads(await self._request(LIST_REQUEST)))
 
     async def notify(self, event_id: str, outcome: EventOutcome) -> None:
-        """Notify the platform of an event's outcome, in a few attempts."""
+        """Notify the platform of the final outcome of an event; give up after a few failed attempts."""
         body = json.dumps({"message": event_id, "outcome": outcome}).encode()
         request = b"POST /status HTTP/1.1\r\nHost: p\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        for _ in range(NOTIFY_ATTEMPTS):
+        for _ in range(MAX_NOTIFICATION_ATTEMPTS):
             try:
                 await self._request(request)
                 return
             except (OSError, EOFError):
-                await asyncio.sleep(NOTIFY_RETRY_DELAY_S)
+                await asyncio.sleep(NOTIFICATION_RETRY_DELAY_S)
 
     async def _request(self, data: bytes) -> bytes:
-        """Return the body of the response to an encoded request."""
+        """Send an encoded request; return the body of the response."""
         reader, writer = await asyncio.open_connection(self._host, self._port)
         with closing(writer):
             writer.write(data)
--- a/swiftthread/lab/rate_limit.py
+++ b/swiftthread/lab/rate_limit.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-ROUNDING_SLACK_MS = 1e-9  # ms by which a call may come early: slots are sums of rounded intervals
+ROUNDING_SLACK_MS = 1e-9  # A call may be this early, because slot times are sums of rounded intervals.
 
 
 class Admission(NamedTuple):
-    """Whether a call is admitted and, if not, the ms until one will be."""
+    """Whether a call is admitted and, if it is not, the time in ms after which a call will be."""
 
     is_admitted: bool
     retry_after_ms: float = 0.0
@@ -18,15 +18,17 @@
 class RateLimit:
     """A limit on the calls that a destination admits, over all its endpoints.
 
-    Paced (one call each `1000 / rate_per_s` ms, of which `burst` may come early), or so many in each window
-    of fixed length. The Retry-After of a rejected call is exact: after it, a call is admitted.
+    A paced limit admits one call each `1000 / rate_per_s` ms, and up to `burst` calls at once after an idle
+    period. A windowed limit admits as many calls in each window of fixed length as the rate allows, and at
+    least one. The Retry-After of a rejected call is exact: after it, a call is admitted.
 
     Attributes:
-        rate_per_s: Calls per second; 0 means no limit.
-        window_ms: Length of a window in ms; 0 means paced.
-        burst: Calls that a paced limit admits at once.
-        counts_rejections: Whether a rejected call uses the limit up like any other.
-        rate_per_ms: Calls per ms at present, `configured_rate_per_ms` unless a fault changed it.
+        rate_per_s: The rate in calls per second; 0 means no limit.
+        window_ms: The length of a window in ms; 0 means that the limit is paced.
+        burst: The number of calls that a paced limit admits at once.
+        counts_rejections: Whether a rejected call counts against the limit like an admitted one.
+        rate_per_ms: The current rate in calls per ms: `configured_rate_per_ms`, unless a fault changed it.
+        configured_rate_per_ms: `rate_per_s` in calls per ms.
     """
 
     rate_per_s: float
@@ -43,11 +45,11 @@
         self.configured_rate_per_ms = self.rate_per_s / 1000.0
         self.rate_per_ms = self.configured_rate_per_ms
 
-    def try_admit(self, now: float, warmth: float = 1.0) -> Admission:
-        """Admit or reject a call that arrives at `now` (ms), with the rate scaled by `warmth` (0 to 1)."""
+    def try_admit(self, now: float, capacity_share: float = 1.0) -> Admission:
+        """Admit or reject a call that arrives at `now` (ms); `capacity_share` (0 to 1) scales the rate."""
         if not self.rate_per_ms:
             return Admission(True)
-        rate_per_ms = self.rate_per_ms * warmth
+        rate_per_ms = self.rate_per_ms * capacity_share
         if self.window_ms:
             return self._admit_in_window(now, rate_per_ms)
         return self._admit_paced(now, rate_per_ms)
@@ -72,6 +74,6 @@
             self._next_slot_at = slot_at + interval_ms
             return Admission(True)
         if self.counts_rejections:
-            # Rejected calls push the next slot away, but never by more than one further burst.
+            # A rejected call postpones the next slot, but by no more than one further burst.
             self._next_slot_at = min(slot_at + interval_ms, now + 2 * self.burst / rate_per_ms)
         return Admission(False, self._next_slot_at - now - burst_ms)
--- a/swiftthread/lab/receivers.py
+++ b/swiftthread/lab/receivers.py
@@ -1,6 +1,6 @@
 """The state of emulated receivers: destinations, their endpoints, and the calls in flight at them.
 
-All times are ms; moments are those of the caller's clock.
+All times are in ms; timestamps are those of the caller's clock.
 """
 
 import math
@@ -25,8 +25,8 @@
     Args:
         distribution: The shape of the distribution.
         mean_ms: Its mean.
-        cv: Its coefficient of variation; only the lognormal one takes it.
-        rng: The source of the draws.
+        cv: Its coefficient of variation, which applies only to the lognormal distribution.
+        rng: The random source of the draws.
     """
     if distribution == "fixed":
         return lambda: mean_ms
@@ -37,7 +37,7 @@
 
 
 class LoadSample(NamedTuple):
-    """The load of one call, in calls, and when it came."""
+    """The load of one call, in calls with a single event, and its arrival time."""
 
     at: float
     load: float
@@ -45,21 +45,21 @@
 
 @dataclass(slots=True, eq=False)
 class Destination:
-    """What the endpoints of a destination share: the rate limit, outages, and the warm-up after one.
+    """The state that the endpoints of a destination share: rate limit, outages, and the warm-up after them.
 
     Attributes:
         number: Its number in the incident.
         rate_limit: The limit over all its endpoints.
-        cold_capacity_share: The share of its capacity that it has at the moment it recovers, 0 to 1.
-        warm_up_ms: How long it takes to full capacity from then on.
-        overload_multiple: The load, x its capacity while warming up, that brings it down again.
+        cold_capacity_share: The share of its capacity that it has when it recovers, 0 to 1.
+        warm_up_ms: The time from recovery to full capacity.
+        overload_multiple: The load that crashes it during warm-up, as a multiple of its capacity at the time.
         overload_window_ms: The window over which that load is counted.
-        sends_retry_after: Whether a call over the rate limit is told when to come back.
-        endpoints: All its endpoints, spare ones too; an `Endpoint` adds itself.
+        sends_retry_after: Whether the rejection of a call over the rate limit has a Retry-After.
+        endpoints: All its endpoints, including spare ones; an `Endpoint` adds itself.
         recovered_at: When it last recovered from an outage.
-        is_overloaded: Whether it went down by overload and was not healed since.
-        unavailable_until: The moment until which it rejects every call.
-        unavailability_has_retry_after: Whether calls rejected until then are told when to come back.
+        is_overloaded: Whether overload crashed it and it has not been healed since.
+        unavailable_until: The time until which it rejects all calls.
+        unavailability_has_retry_after: Whether these rejections have a Retry-After.
     """
 
     number: int
@@ -76,13 +76,13 @@
     unavailability_has_retry_after: bool = field(default=False, init=False)
     _recent_loads: deque[LoadSample] = field(default_factory=deque, init=False)
 
-    def warmth(self, now: float) -> float:
-        """Return the share of its capacity that it has at `now`, 0 to 1."""
-        warm_up_share = (now - self.recovered_at) / self.warm_up_ms
-        return min(1.0, self.cold_capacity_share + (1.0 - self.cold_capacity_share) * warm_up_share)
+    def capacity_share(self, now: float) -> float:
+        """Return the share of its full capacity that it has at `now`, 0 to 1."""
+        warm_up_progress = (now - self.recovered_at) / self.warm_up_ms
+        return min(1.0, self.cold_capacity_share + (1.0 - self.cold_capacity_share) * warm_up_progress)
 
     def capacity_per_ms(self) -> float:
-        """Return the calls per ms that it can do when warm."""
+        """Return its full capacity, after the warm-up, in calls per ms."""
         if self.rate_limit.rate_per_ms:
             return self.rate_limit.rate_per_ms
         return sum(
@@ -92,27 +92,27 @@
         )
 
     def is_down(self) -> bool:
-        """Return whether none of its endpoints is up."""
+        """Return whether all its endpoints are down or removed."""
         return all(endpoint.is_down() or endpoint.is_removed for endpoint in self.endpoints)
 
-    def take_expired_unavailability(self, now: float) -> float | None:
-        """Return when its rejection of every call ended, once after that end; else None."""
-        until = self.unavailable_until
-        if now < until or until == -math.inf:
+    def clear_expired_unavailability(self, now: float) -> float | None:
+        """Return when the rejection of all calls expired, once after that time; otherwise None."""
+        expired_at = self.unavailable_until
+        if now < expired_at or expired_at == -math.inf:
             return None
         self.unavailable_until = -math.inf
-        return until
+        return expired_at
 
     def recover(self, now: float) -> None:
-        """Start to warm up: an outage is over."""
+        """Start the warm-up after an outage that ended at `now`."""
         self.recovered_at = now
         self._recent_loads.clear()
 
     def record_load(self, now: float, load: float) -> bool:
-        """Count the load of a call, in calls, whether or not it is admitted.
+        """Count the load of a call, admitted or not, in calls with a single event.
 
         Returns:
-            Whether the destination becomes overloaded by it.
+            Whether this call overloads the destination.
         """
         if self.is_overloaded or now >= self.recovered_at + self.warm_up_ms:
             self._recent_loads.clear()
@@ -120,7 +120,12 @@
         self._recent_loads.append(LoadSample(now, load))
         while self._recent_loads[0].at < now - self.overload_window_ms:
             self._recent_loads.popleft()
-        budget = self.overload_multiple * self.capacity_per_ms() * self.warmth(now) * self.overload_window_ms
+        budget = (
+            self.overload_multiple
+            * self.capacity_per_ms()
+            * self.capacity_share(now)
+            * self.overload_window_ms
+        )
         load = sum(sample.load for sample in self._recent_loads)
         self.is_overloaded = load > overload_threshold(budget)
         return self.is_overloaded
@@ -128,20 +133,26 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One endpoint: workers, a bounded queue, a connection table, and the faults that it has at present.
+    """One endpoint: workers, a bounded queue, a connection limit, and the faults that it has at present.
 
     Attributes:
         name: Its name in the endpoint list.
-        destination: What it belongs to.
-        zone: Where it stands.
-        workers: Calls that it executes at once.
-        queue_capacity: Calls that may wait for a worker.
-        max_connections: The size of its connection table.
+        destination: The destination that it belongs to.
+        zone: The zone that it runs in.
+        workers: The number of calls that it executes at the same time.
+        queue_capacity: The number of calls that may wait for a worker.
+        max_connections: Its connection limit.
         draw_service_ms: Draws the service time of one event.
         mean_service_ms: The mean of those draws.
-        is_removed: It is no longer, or not yet, in service.
-        paused_until: The moment until which its calls make no progress.
-        service_time_factor: What each service time is multiplied by.
+        open_connections: The number of counted connections.
+        busy_workers: The number of workers that execute a call.
+        queue: The calls that wait for a worker.
+        is_crashed: Whether it refuses or resets connections.
+        is_unresponsive: Whether connections and calls get no response.
+        is_draining: Whether it rejects new calls because it is about to be removed.
+        is_removed: Whether it is no longer, or not yet, in service.
+        paused_until: The time until which its calls make no progress.
+        service_time_factor: The factor that each service time is multiplied by.
         failure_shares: The share of calls, by outcome, that fail before they reach a worker. Drawn in order.
         rejection_share: The share of calls that are rejected as rate-limited.
     """
@@ -158,7 +169,7 @@
     busy_workers: int = field(default=0, init=False)
     queue: deque["Call"] = field(default_factory=deque, init=False)
     is_crashed: bool = field(default=False, init=False)
-    is_silent: bool = field(default=False, init=False)
+    is_unresponsive: bool = field(default=False, init=False)
     is_draining: bool = field(default=False, init=False)
     is_removed: bool = field(default=False, init=False)
     paused_until: float = field(default=-math.inf, init=False)
@@ -170,11 +181,11 @@
         self.destination.endpoints.append(self)
 
     def is_down(self) -> bool:
-        """Return whether it answers nothing at all."""
-        return self.is_crashed or self.is_silent
+        """Return whether it sends no responses at all."""
+        return self.is_crashed or self.is_unresponsive
 
     def has_idle_worker(self) -> bool:
-        """Return whether a call would start at once."""
+        """Return whether a worker can start a call now."""
         return self.busy_workers < self.workers
 
 
@@ -183,10 +194,10 @@
     """One call in flight.
 
     Attributes:
-        tag: The driver's number for it.
-        endpoint: Where it arrived.
+        tag: A number that the driver assigns to identify the call.
+        endpoint: The endpoint at which it arrived.
         size: The number of events in it.
-        completes_at: When its work ends; infinite while it waits, and once it is over.
+        completes_at: When a worker completes it; infinite while it is queued, and after its completion.
     """
 
     tag: int
@@ -195,8 +206,8 @@
     completes_at: float = math.inf
 
 
-class Answer(NamedTuple):
-    """What the driver has to answer to a call, with a Retry-After in ms (0: none)."""
+class CallResponse(NamedTuple):
+    """The response that the driver sends to a call, with a Retry-After in ms (0 if there is none)."""
 
     call: Call
     outcome: CallOutcome
--- a/swiftthread/lab/relay.py
+++ b/swiftthread/lab/relay.py
@@ -1,7 +1,7 @@
-"""Baselines that run in a node's place: one attempt, backoff with jitter, an AIMD concurrency limit.
+"""Baselines that run in place of a node: one attempt, backoff with jitter, an AIMD concurrency limit.
 
-They are configured and called like a node, keep events in memory alone, and keep those of the rules that
-their strategy keeps. They are there to be compared with, never to be deployed.
+They are configured and called like a node, store events in memory only, and comply only with those rules of
+the referee that their strategy implies. They exist for comparison and must not be deployed.
 """
 
 import asyncio
@@ -26,34 +26,40 @@
 from swiftthread.lab.outcomes import EndpointState, EventOutcome
 from swiftthread.lab.platform_client import PlatformClient
 
-CALL_TIMEOUT_MS = 1500.0  # of a call: a few usual latencies, and no more than the rest of the max age
-MIN_CALL_TIMEOUT_MS = 1.0  # of a call whose max age is over
-MIN_REMAINING_MS = 20.0  # ms before its max age after which an event is not attempted again
-WINDOW_MARGIN_MS = 50.0  # ms by which a retry keeps away from the end of the deduplication window
-BACKOFF_MS = 100.0  # ms of the first backoff; full jitter between 0 and it
-MAX_BACKOFF_MS = 3000.0  # ms of the longest
-BACKOFF_MULTIPLIER = 2.0  # from one backoff to the next
-DISCOVERY_POLL_INTERVAL_S = 1.0  # s between two polls of discovery, and the timeout of one
-INITIAL_CONCURRENCY_LIMIT = 10.0  # AIMD: calls in flight at a destination at first
-DECREASE_FACTOR = 0.5  # AIMD: share of the limit that a failure leaves
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+MAX_CALL_TIMEOUT_MS = 1500.0  # A few typical latencies; the remaining max age limits the timeout, too.
+MIN_CALL_TIMEOUT_MS = 1.0  # The timeout of a call whose event has reached its max age.
+MIN_REMAINING_MS = 20.0  # An event with less time than this until its max age is not attempted again.
+DEDUPLICATION_WINDOW_MARGIN_MS = 50.0  # Retries stop this long before the deduplication window ends.
+INITIAL_BACKOFF_MS = 100.0  # The delay is drawn between 0 and the backoff (full jitter).
+MAX_BACKOFF_MS = 3000.0
+BACKOFF_MULTIPLIER = 2.0
+DISCOVERY_POLL_INTERVAL_S = 1.0  # This is the timeout of each poll, too.
+INITIAL_CONCURRENCY_LIMIT = 10.0  # The initial AIMD limit on calls in flight at a destination.
+DECREASE_FACTOR = 0.5  # A failed call multiplies the AIMD limit by this.
+LISTEN_BACKLOG = 1024
 
-NOT_SENT = -1  # in place of a status: the call reached nobody
-NOT_EXECUTED_STATUSES = frozenset({400, 410, 413, 429, 503, 504})  # after any other it may have been executed
+NOT_SENT = -1  # Stands in place of a status if the call was not sent to any endpoint.
+NOT_EXECUTED_STATUSES = frozenset({400, 410, 413, 429, 503, 504})  # After any other, the call may have run.
 
 
 def wall_clock_ms() -> float:
-    """Return the present moment, in ms of the wall clock."""
+    """Return the current time in ms of the wall clock."""
     return time.time() * 1000.0
 
 
 @dataclass(slots=True, eq=False)
 class Event:
-    """What a client submitted, and what its attempts came to; moments are those of the wall clock, in ms.
+    """An event that a client submitted, and the state of its delivery; times are in ms of the wall clock.
 
     Attributes:
-        attempts: Attempts so far.
-        possibly_executed_at: When the first attempt began that may have been executed.
+        event_id: The id that the client assigned.
+        key: The idempotency key, or "" if there is none.
+        body: The body that is delivered.
+        stream: The stream type.
+        destination: The number of the destination.
+        expires_at: When the event reaches its max age.
+        attempts: The number of attempts so far.
+        possibly_executed_at: When the first attempt that may have been executed began; None if there is none.
     """
 
     event_id: str
@@ -67,7 +73,7 @@
 
     @classmethod
     def parse(cls, request: HttpRequest, profiles: Mapping[str, StreamProfile]) -> "Event":
-        """Return the event that a request submits.
+        """Parse the event that a request submits.
 
         Raises:
             KeyError: A header field is missing, or there is no such stream type.
@@ -85,33 +91,34 @@
         )
 
     def remaining_ms(self) -> float:
-        """Return the ms until its max age."""
+        """Return the time until its max age in ms."""
         return self.expires_at - wall_clock_ms()
 
     def may_retry(self) -> bool:
-        """Return whether another attempt, or handing it back, can do no harm."""
+        """Return whether another attempt, or a resubmission by the client, is free of duplicate effects."""
         if self.possibly_executed_at is None or self.stream.effect == "retryable":
             return True
         return (
             self.stream.effect == "dedup"
             and self.stream.group == "all"
-            and wall_clock_ms() < self.possibly_executed_at + self.stream.window_ms - WINDOW_MARGIN_MS
+            and wall_clock_ms()
+            < self.possibly_executed_at + self.stream.window_ms - DEDUPLICATION_WINDOW_MARGIN_MS
         )
 
-    def has_time_left(self) -> bool:
-        """Return whether another attempt has a chance before the max age."""
+    def has_time_for_attempt(self) -> bool:
+        """Return whether enough time is left before the max age for another attempt."""
         return self.remaining_ms() > MIN_REMAINING_MS
 
 
 class IngressReply(NamedTuple):
-    """The status that a client is answered with, and the event to deliver if there is one."""
+    """The status of the response to a client, and the event to deliver if there is one."""
 
     status: int
     event: Event | None = None
 
 
 class AttemptResult(NamedTuple):
-    """The status of an attempt, `NO_STATUS` or `NOT_SENT`, and its Retry-After in ms (0: none)."""
+    """The status of an attempt, `NO_STATUS` or `NOT_SENT`, and a Retry-After in ms (0 if there is none)."""
 
     status: int
     retry_after_ms: float = 0.0
@@ -129,7 +136,7 @@
         self._node = node
 
     def on_request(self, request: HttpRequest) -> None:
-        """Answer a health check, or a submission whose event is delivered from then on."""
+        """Respond to a health check or a submission, and start to deliver an event that was accepted."""
         if request.method == "GET":
             self.transport.write(encode_response(200))
             return
@@ -140,10 +147,12 @@
 
 
 class SingleAttemptNode:
-    """One attempt for each event. Others derive from it by `deliver`.
+    """Makes one attempt for each event. Subclasses implement other strategies in `deliver`.
 
     Attributes:
-        destinations: The endpoints in service of each destination.
+        max_attempts: The maximum number of attempts for an event.
+        rng: The random source of the node.
+        destinations: The serving endpoints of each destination, by its number.
     """
 
     def __init__(self, configuration: NodeConfiguration) -> None:
@@ -190,16 +199,16 @@
             await self.notify(event, outcome)
 
     async def deliver(self, event: Event) -> EventOutcome | None:
-        """Make the attempts for an event; return its outcome unless it was acknowledged."""
+        """Make the attempts for an event; return its final outcome, or None if it was acknowledged."""
         result = await self.send(event)
         return None if result.is_acked() else self.final_outcome(event)
 
     def final_outcome(self, event: Event) -> EventOutcome:
-        """Return the outcome of an event that gets no further attempt."""
+        """Return the final outcome of an event that gets no further attempt."""
         return EventOutcome.HANDED_BACK if event.may_retry() else EventOutcome.GIVEN_UP
 
     async def notify(self, event: Event, outcome: EventOutcome) -> None:
-        """Notify the platform of an event's outcome."""
+        """Notify the platform of the final outcome of an event."""
         await self._platform.notify(event.event_id, outcome)
 
     def _pick_endpoint(self, event: Event) -> ListedEndpoint | None:
@@ -210,7 +219,7 @@
         return endpoints[self._round_robin[event.destination] % len(endpoints)]
 
     async def send(self, event: Event) -> AttemptResult:
-        """Make one attempt, and note on the event whether it may have been executed."""
+        """Make one attempt; if it may have been executed, record its start time on the event."""
         endpoint = self._pick_endpoint(event)
         if endpoint is None:
             return AttemptResult(NOT_SENT)
@@ -224,9 +233,9 @@
         return AttemptResult(reply.status)
 
     async def call(self, event: Event, endpoint: ListedEndpoint) -> HttpReply:
-        """Call an endpoint; return its reply, or one of status `NO_STATUS` or `NOT_SENT`."""
+        """Call an endpoint; return its response, or a reply with the status `NO_STATUS` or `NOT_SENT`."""
         connection: HttpClientConnection | None = None
-        timeout_ms = max(MIN_CALL_TIMEOUT_MS, min(CALL_TIMEOUT_MS, event.remaining_ms()))
+        timeout_ms = max(MIN_CALL_TIMEOUT_MS, min(MAX_CALL_TIMEOUT_MS, event.remaining_ms()))
         try:
             async with asyncio.timeout(timeout_ms / 1000.0):
                 connection = await self._pool(endpoint).acquire()
@@ -245,13 +254,13 @@
         return self._pools[endpoint]
 
     async def follow_discovery(self) -> None:
-        """Poll the endpoint list, forever."""
+        """Poll the endpoint list until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(DISCOVERY_POLL_INTERVAL_S):
                     self._update_endpoints(await self._platform.fetch_endpoints())
             except (OSError, EOFError, TimeoutError, ValueError):
-                pass  # the list stays as it was until the next poll
+                pass  # The endpoint list stays unchanged until the next poll.
             await asyncio.sleep(DISCOVERY_POLL_INTERVAL_S)
 
     async def serve(self) -> None:
@@ -267,12 +276,12 @@
 
 
 def _encode_call(event: Event) -> bytes:
-    key = f"Idempotency-Key: {event.key}\r\n" if event.key else ""
+    key_header = f"Idempotency-Key: {event.key}\r\n" if event.key else ""
     head = (
         "POST /receive HTTP/1.1\r\n"
         "Host: endpoint\r\n"
         f"X-Txn: {event.event_id}\r\n"
-        f"{key}"
+        f"{key_header}"
         f"Content-Length: {len(event.body)}\r\n"
         "\r\n"
     )
@@ -280,12 +289,12 @@
 
 
 class BackoffNode(SingleAttemptNode):
-    """Retries with exponential backoff and full jitter; a Retry-After lengthens the backoff of its event."""
+    """Retries with exponential backoff and full jitter, and waits at least as long as a Retry-After asks."""
 
     async def deliver(self, event: Event) -> EventOutcome | None:
-        """Make attempts until one is acknowledged or another may do harm or come late."""
-        backoff_ms = BACKOFF_MS
-        while event.attempts < self.max_attempts and event.has_time_left():
+        """Make attempts until one is acknowledged, or until a retry would be unsafe or too late."""
+        backoff_ms = INITIAL_BACKOFF_MS
+        while event.attempts < self.max_attempts and event.has_time_for_attempt():
             result = await self.send(event)
             if result.is_acked():
                 return None
@@ -305,38 +314,38 @@
 
     limit: float = INITIAL_CONCURRENCY_LIMIT
     in_flight: int = 0
-    _freed: asyncio.Event = field(default_factory=asyncio.Event, init=False)
+    _released: asyncio.Event = field(default_factory=asyncio.Event, init=False)
 
     async def wait_for_capacity(self) -> None:
-        """Wait until there are fewer calls in flight than the limit."""
+        """Wait until fewer calls are in flight than the limit allows."""
         while self.in_flight >= self.limit:
-            self._freed.clear()
-            await self._freed.wait()
+            self._released.clear()
+            await self._released.wait()
 
     def release(self, *, is_acked: bool) -> None:
-        """End a call in flight: its result raises or lowers the limit."""
+        """Release the slot of a completed call; raise the limit if it was acknowledged, else lower it."""
         self.in_flight -= 1
         if is_acked:
             self.limit += 1.0 / self.limit
         else:
             self.limit = max(1.0, self.limit * DECREASE_FACTOR)
-        self._freed.set()
+        self._released.set()
 
 
 class AimdNode(SingleAttemptNode):
-    """Retries after a short backoff, under a concurrency limit for each destination."""
+    """Retries after a short random backoff, under a concurrency limit for each destination."""
 
     def __init__(self, configuration: NodeConfiguration) -> None:
         super().__init__(configuration)
         self._limiters: dict[int, ConcurrencyLimiter] = defaultdict(ConcurrencyLimiter)
 
     async def deliver(self, event: Event) -> EventOutcome | None:
-        """Make attempts until one is acknowledged or another may do harm or come late."""
+        """Make attempts until one is acknowledged, or until a retry would be unsafe or too late."""
         limiter = self._limiters[event.destination]
-        while event.attempts < self.max_attempts and event.has_time_left() and event.may_retry():
-            patience_ms = max(0.0, event.remaining_ms() - MIN_REMAINING_MS)
+        while event.attempts < self.max_attempts and event.has_time_for_attempt() and event.may_retry():
+            wait_limit_ms = max(0.0, event.remaining_ms() - MIN_REMAINING_MS)
             try:
-                async with asyncio.timeout(patience_ms / 1000.0):
+                async with asyncio.timeout(wait_limit_ms / 1000.0):
                     await limiter.wait_for_capacity()
             except TimeoutError:
                 break
@@ -349,7 +358,7 @@
                 return None
             if not event.may_retry() or result.retry_after_ms > event.remaining_ms() - MIN_REMAINING_MS:
                 break
-            delay_ms = max(result.retry_after_ms, self.rng.uniform(0.0, BACKOFF_MS))
+            delay_ms = max(result.retry_after_ms, self.rng.uniform(0.0, INITIAL_BACKOFF_MS))
             await asyncio.sleep(delay_ms / 1000.0)
         return self.final_outcome(event)
 
@@ -357,6 +366,6 @@
 NODE_KINDS = {"once": SingleAttemptNode, "backoff": BackoffNode, "aimd": AimdNode}
 
 
-def main(kind: type[SingleAttemptNode]) -> None:
-    """Run a baseline, configured by the environment, until SIGTERM."""
-    asyncio.run(kind(read_configuration()).serve())
+def main(node_class: type[SingleAttemptNode]) -> None:
+    """Run a baseline until SIGTERM, with the configuration file named in the environment."""
+    asyncio.run(node_class(read_configuration()).serve())
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator on sockets: callers see each fault of an incident, and a run leaves no process behind."""
+"""Tests the emulator over sockets: the effects of faults on callers, and that a run leaves no processes."""
 
 import json
 import os
@@ -35,7 +35,7 @@
 
 
 class EmulatorProcess:
-    """The emulator as a process, its timeline running."""
+    """An emulator process whose timeline is running."""
 
     def __init__(self, folder, steps="", dest=""):
         path = folder / "incident.toml"
@@ -48,7 +48,7 @@
         )
         self.addresses = json.loads(self.process.stdout.readline())
         self.address_by_endpoint = {
-            row["id"]: split_address(row["addr"]) for row in self.addresses["known"]["servers"]
+            entry["id"]: split_address(entry["addr"]) for entry in self.addresses["known"]["servers"]
         }
         self.send_line(f"go {time.monotonic() * 1000.0}")
 
@@ -63,10 +63,10 @@
 
 
 @contextmanager
-def emulated(folder, *steps, dest=""):
+def running_emulator(folder, *steps, dest=""):
     """Run the emulator with these steps at the start of its incident."""
-    text = "".join(f"[[step]]\nat_ms = 0\n{step}\n" for step in steps)
-    emulator = EmulatorProcess(folder, text, dest)
+    step_tables = "".join(f"[[step]]\nat_ms = 0\n{step}\n" for step in steps)
+    emulator = EmulatorProcess(folder, step_tables, dest)
     try:
         yield emulator
     finally:
@@ -78,17 +78,17 @@
 
 
 def exchange(connection, body=b"x"):
-    """Make one call on an open connection; return what one read gets of its answer."""
+    """Make one call on an open connection; return what a single read returns of the response."""
     connection.sendall(
         b"POST /receive HTTP/1.1\r\nHost: e\r\nX-Txn: e1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
     )
     return connection.recv(4096)
 
 
-def call(where, body=b"x", timeout=2.0):
-    """Make one call on a new connection; return its answer, b"" for a close, or an exception's name."""
+def call(address, body=b"x", timeout=2.0):
+    """Make one call on a new connection; return the response, b"" for a close, or an exception's name."""
     try:
-        with socket.create_connection(where, timeout) as connection:
+        with socket.create_connection(address, timeout) as connection:
             return exchange(connection, body=body)
     except OSError as error:
         return type(error).__name__
@@ -96,15 +96,15 @@
 
 def wait_until(condition, timeout_s=5.0):
     """Poll a condition; return its first true value."""
-    ends_at = time.monotonic() + timeout_s
+    deadline = time.monotonic() + timeout_s
     while not (value := condition()):
-        assert time.monotonic() < ends_at, "the condition did not come true in time"
+        assert time.monotonic() < deadline, "the condition did not become true in time"
         time.sleep(0.01)
     return value
 
 
 @pytest.mark.parametrize(
-    "step, first",
+    "step, expected_reply",
     [
         ("what = 'refuse'\non = 'endpoint:d1-0'", "ConnectionRefusedError"),
         ("what = 'vanish'\non = 'endpoint:d1-0'", "TimeoutError"),
@@ -117,49 +117,53 @@
         ("what = 'swallow'\non = 'endpoint:d1-0'", "TimeoutError"),
     ],
 )
-def test_callers_see_each_fault(tmp_path, step, first):
-    with emulated(tmp_path, step) as emulator:
+def test_a_call_observes_each_endpoint_fault(tmp_path, step, expected_reply):
+    with running_emulator(tmp_path, step) as emulator:
 
-        def is_seen():
+        def fault_is_observed():
             reply = call(emulator.address_by_endpoint["d1-0"], timeout=0.4)
             return (
-                reply == first
-                if isinstance(first, str)
-                else isinstance(reply, bytes) and reply.startswith(first)
+                reply == expected_reply
+                if isinstance(expected_reply, str)
+                else isinstance(reply, bytes) and reply.startswith(expected_reply)
             )
 
-        wait_until(is_seen)
+        wait_until(fault_is_observed)
         healthy_reply = call(emulator.address_by_endpoint["d1-1"])
         assert healthy_reply.startswith(b"HTTP/1.1 200")
         (healthy_call,) = [
-            row
-            for row in emulator.stop()
-            if isinstance(row, run_records.CallReceived) and row.endpoint == "d1-1"
+            record
+            for record in emulator.stop()
+            if isinstance(record, run_records.CallReceived) and record.endpoint == "d1-1"
         ]
         assert healthy_call.event_ids == ["e1"]
 
 
 def test_calls_reset_before_the_request_are_not_executed(tmp_path):
-    with emulated(tmp_path, "what = 'reset_before'\non = 'dest:1'") as emulator:
+    with running_emulator(tmp_path, "what = 'reset_before'\non = 'dest:1'") as emulator:
         wait_until(lambda: call(emulator.address_by_endpoint["d1-0"], timeout=0.4) == "ConnectionResetError")
-        seen = sum(
-            isinstance(row, run_records.ReplySent) and row.outcome == "done" for row in emulator.stop()
+        completed_calls = sum(
+            isinstance(record, run_records.ReplySent) and record.outcome == "done"
+            for record in emulator.stop()
         )
-        assert seen <= 1  # at most a call that came before the step
+        assert completed_calls <= 1  # One call may arrive before the step is applied.
 
 
 def test_an_unavailable_destination_sends_the_remaining_time_as_retry_after(tmp_path):
-    with emulated(tmp_path, "what = 'shut'\non = 'dest:1'\nfor_ms = 900\nwait_ms = 1") as emulator:
+    with running_emulator(tmp_path, "what = 'shut'\non = 'dest:1'\nfor_ms = 900\nwait_ms = 1") as emulator:
         reply = wait_until(
-            lambda: (got := call(emulator.address_by_endpoint["d1-0"])).startswith(b"HTTP/1.1 429") and got
+            lambda: (
+                (response := call(emulator.address_by_endpoint["d1-0"])).startswith(b"HTTP/1.1 429")
+                and response
+            )
         )
-        wait = float(reply.partition(b"Retry-After: ")[2].split(b"\r\n")[0])
-        assert 0.0 < wait <= 0.9
+        retry_after_s = float(reply.partition(b"Retry-After: ")[2].split(b"\r\n")[0])
+        assert 0.0 < retry_after_s <= 0.9
         wait_until(lambda: call(emulator.address_by_endpoint["d1-0"]).startswith(b"HTTP/1.1 200"))
 
 
 def test_healing_ends_a_fault_and_records_the_recovery(tmp_path):
-    with emulated(tmp_path, "what = 'vanish'\non = 'dest:1'\nfor_ms = 700") as emulator:
+    with running_emulator(tmp_path, "what = 'vanish'\non = 'dest:1'\nfor_ms = 700") as emulator:
         wait_until(lambda: call(emulator.address_by_endpoint["d1-0"], timeout=0.2) == "TimeoutError")
         wait_until(
             lambda: (
@@ -167,68 +171,72 @@
                 not in ("TimeoutError", "ConnectionResetError")
             )
         )
-        rows = emulator.stop()
-        assert [row.change for row in rows if isinstance(row, run_records.DestinationChanged)] == [
+        records = emulator.stop()
+        assert [
+            record.change for record in records if isinstance(record, run_records.DestinationChanged)
+        ] == [
             "out",
             "back",
         ]
 
 
-def test_a_full_connection_table_resets_one_more(tmp_path):
-    with emulated(tmp_path, dest="connections = 2") as emulator:
-        kept = [socket.create_connection(emulator.address_by_endpoint["d1-0"], 2.0) for _ in range(2)]
-        assert [exchange(connection)[:12] for connection in kept] == [b"HTTP/1.1 200"] * 2
+def test_a_connection_above_the_connection_limit_is_reset(tmp_path):
+    with running_emulator(tmp_path, dest="connections = 2") as emulator:
+        connections = [socket.create_connection(emulator.address_by_endpoint["d1-0"], 2.0) for _ in range(2)]
+        assert [exchange(connection)[:12] for connection in connections] == [b"HTTP/1.1 200"] * 2
         assert call(emulator.address_by_endpoint["d1-0"]) in ("ConnectionResetError", "BrokenPipeError")
-        kept.pop().close()
+        connections.pop().close()
         wait_until(lambda: call(emulator.address_by_endpoint["d1-0"])[:12] == b"HTTP/1.1 200")
-        kept.pop().close()
+        connections.pop().close()
 
 
-def test_slow_readers_and_writers_are_slow(tmp_path):
-    both = ("what = 'slow_read'\non = 'endpoint:d1-0'", "what = 'slow_write'\non = 'endpoint:d1-0'")
-    with emulated(tmp_path, *both) as emulator:
+def test_slow_read_and_slow_write_delay_the_response(tmp_path):
+    steps = ("what = 'slow_read'\non = 'endpoint:d1-0'", "what = 'slow_write'\non = 'endpoint:d1-0'")
+    with running_emulator(tmp_path, *steps) as emulator:
 
-        def elapsed():
+        def call_duration_s():
             started_at = time.monotonic()
             assert call(emulator.address_by_endpoint["d1-0"], body=b"y" * 640)
             return time.monotonic() - started_at
 
-        wait_until(lambda: elapsed() > 0.15)
+        wait_until(lambda: call_duration_s() > 0.15)
 
 
-def test_a_batch_is_answered_by_event(tmp_path):
-    with emulated(tmp_path) as emulator:
+def test_the_response_to_a_batch_has_the_state_of_each_event(tmp_path):
+    with running_emulator(tmp_path) as emulator:
         body = json.dumps([{"id": "a", "body": "aGk="}, {"id": "b", "body": "aGk="}]).encode()
-        with socket.create_connection(emulator.address_by_endpoint["d1-0"]) as conn:
-            conn.sendall(
+        with socket.create_connection(emulator.address_by_endpoint["d1-0"]) as connection:
+            connection.sendall(
                 b"POST /receive-many HTTP/1.1\r\nHost: e\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             )
-            reply = conn.recv(4096)
+            reply = connection.recv(4096)
         assert json.loads(reply.partition(b"\r\n\r\n")[2]) == [
             {"id": "a", "state": "done"},
             {"id": "b", "state": "done"},
         ]
-        (call_row,) = [row for row in emulator.stop() if isinstance(row, run_records.CallReceived)]
-        assert call_row.event_ids == ["a", "b"]
+        (call_received,) = [
+            record for record in emulator.stop() if isinstance(record, run_records.CallReceived)
+        ]
+        assert call_received.event_ids == ["a", "b"]
 
 
 def test_the_watch_sends_changes_and_the_platform_records_notifications(tmp_path):
     steps = ("what = 'join'\non = 'spares:1'", "what = 'drain'\non = 'endpoint:d1-0'")
-    with emulated(tmp_path, *steps) as emulator:
-        with socket.create_connection(split_address(emulator.addresses["discovery"][0])) as conn:
-            conn.sendall(b"GET /catalog/members?watch=1&from=0 HTTP/1.1\r\nHost: d\r\n\r\n")
-            seen = b""
-            conn.settimeout(5)
-            while b"DRAINING" not in seen or b"d1-2" not in seen:
-                seen += conn.recv(65536)
-        with socket.create_connection(split_address(emulator.addresses["discovery"][0])) as conn:
+    with running_emulator(tmp_path, *steps) as emulator:
+        with socket.create_connection(split_address(emulator.addresses["discovery"][0])) as connection:
+            connection.sendall(b"GET /catalog/members?watch=1&from=0 HTTP/1.1\r\nHost: d\r\n\r\n")
+            received = b""
+            connection.settimeout(5)
+            while b"DRAINING" not in received or b"d1-2" not in received:
+                received += connection.recv(65536)
+        with socket.create_connection(split_address(emulator.addresses["discovery"][0])) as connection:
             line = b'{"message":"x","outcome":"handed_back","retry_in_ms":250}\n'
-            conn.sendall(
+            connection.sendall(
                 b"POST /status HTTP/1.1\r\nHost: d\r\nContent-Length: %d\r\n\r\n%s" % (len(line), line)
             )
-            assert conn.recv(100).startswith(b"HTTP/1.1 204")
+            assert connection.recv(100).startswith(b"HTTP/1.1 204")
         (notification,) = [
-            row for row in emulator.stop() if isinstance(row, run_records.NotificationReceived)
+            record for record in emulator.stop() if isinstance(record, run_records.NotificationReceived)
         ]
         assert notification.node == "n0"
         assert notification.event_id == "x"
@@ -236,14 +244,14 @@
         assert notification.retry_after_ms == 250
 
 
-def test_the_emulator_ends_with_its_standard_input(tmp_path):
-    with emulated(tmp_path) as emulator:
+def test_the_emulator_exits_when_its_standard_input_is_closed(tmp_path):
+    with running_emulator(tmp_path) as emulator:
         emulator.process.stdin.close()
         assert emulator.process.wait(5) == 0
 
 
-@pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupted_run_leaves_nothing_running(tmp_path, how):
+@pytest.mark.parametrize("interrupt_signal", [signal.SIGINT, signal.SIGTERM])
+def test_an_interrupted_run_leaves_no_process_running(tmp_path, interrupt_signal):
     folder = tmp_path / "r"
     node_log = folder / "n1.log"
     run = subprocess.Popen(
@@ -254,15 +262,15 @@
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
     wait_until(lambda: node_log.exists() and b"serves" in node_log.read_bytes(), 15.0)
-    run.send_signal(how)
+    run.send_signal(interrupt_signal)
     errors = run.communicate(timeout=20)[1].decode()
     assert run.returncode == 130 and "Traceback" not in errors, errors
-    left = [
+    remaining_pids = [
         pid
         for pid in os.listdir("/proc")
         if pid.isdigit() and str(tmp_path).encode() in command_and_environment(pid)
     ]
-    assert left == []
+    assert remaining_pids == []
 
 
 def command_and_environment(pid):
@@ -273,8 +281,8 @@
         return b""
 
 
-def test_the_nodes_start_does_not_load_the_laboratory():
-    done = subprocess.run(
+def test_the_node_does_not_import_the_laboratory_or_its_dependencies():
+    completed = subprocess.run(
         [
             sys.executable,
             "-c",
@@ -285,4 +293,4 @@
         text=True,
         check=True,
     )
-    assert done.stdout.strip() == "[]"
+    assert completed.stdout.strip() == "[]"
--- a/tests/lab/test_receiver_model.py
+++ b/tests/lab/test_receiver_model.py
@@ -1,4 +1,4 @@
-"""The model of a receiver: against queueing theory, its failures, and the same events for the same seed."""
+"""Tests the receiver model: waiting times against queueing theory, faults, and reproducible events."""
 
 import hashlib
 import json
@@ -16,44 +16,56 @@
 from swiftthread.lab.receiver_model import CallArrived, DestinationAvailabilityChanged, ReceiverModel
 from swiftthread.lab.receivers import Destination, Endpoint, service_time_sampler
 
-WITHIN = 0.03  # of the theory's figure
+RELATIVE_TOLERANCE = 0.03  # The allowed deviation from the value of queueing theory.
 REFUSE_CONNECTIONS = Fault(FaultKind.REFUSE_CONNECTIONS)
 HEAL = Fault(FaultKind.HEAL)
 
 
-def build_receiver(rng, *, workers=1, queue=10**9, kind="exponential", mean=10.0, rate=0.0, cold=1.0, **more):
-    """A model of one endpoint, and that endpoint; `more` goes to its destination's rate limit."""
-    destination = Destination(1, RateLimit(rate, **more), cold, 1000.0)
+def build_receiver(
+    rng,
+    *,
+    workers=1,
+    queue_capacity=10**9,
+    distribution="exponential",
+    mean_ms=10.0,
+    rate_per_s=0.0,
+    cold_capacity_share=1.0,
+    **rate_limit_options,
+):
+    """Return a receiver model with one endpoint, and that endpoint."""
+    destination = Destination(1, RateLimit(rate_per_s, **rate_limit_options), cold_capacity_share, 1000.0)
     receivers = ReceiverModel(rng)
     endpoint = Endpoint(
         name="d1-0",
         destination=destination,
         zone="east",
         workers=workers,
-        queue_capacity=queue,
+        queue_capacity=queue_capacity,
         max_connections=10**9,
-        draw_service_ms=service_time_sampler(kind, mean, 1.0, rng),
-        mean_service_ms=mean,
+        draw_service_ms=service_time_sampler(distribution, mean_ms, 1.0, rng),
+        mean_service_ms=mean_ms,
     )
     return receivers, receivers.add(endpoint)
 
 
-def waits_at(load, calls, seed=20, **more):
-    """(mean wait before service in ms, share rejected) with Poisson arrivals at so much load a worker."""
+def simulate_queue(load, calls, seed=20, **options):
+    """Return (mean wait before service in ms, rejected share) for Poisson arrivals; `load` is per worker."""
     rng = random.Random(seed)
-    receivers, endpoint = build_receiver(rng, **more)
-    gap = endpoint.mean_service_ms / load / endpoint.workers
-    now, stay, ended, rejected, begun = 0.0, 0.0, 0, 0, 0
+    receivers, endpoint = build_receiver(rng, **options)
+    mean_interval_ms = endpoint.mean_service_ms / load / endpoint.workers
+    now, total_queue_length, completed, rejected, arrivals = 0.0, 0.0, 0, 0, 0
     for number in range(calls):
-        now += rng.expovariate(1.0 / gap)
+        now += rng.expovariate(1.0 / mean_interval_ms)
         for _ in receivers.advance(now):
-            ended += 1
+            completed += 1
         in_system = endpoint.busy_workers + len(endpoint.queue)
-        stay += max(0, in_system - endpoint.workers)  # PASTA: arrivals see the time average of the queue
-        begun += 1
-        _, answer = receivers.arrive(now, endpoint, number)
-        rejected += answer is not None
-    return stay / begun * gap, rejected / begun  # Little: mean queue = arrivals x mean wait
+        # PASTA: Poisson arrivals see the time average of the queue length.
+        total_queue_length += max(0, in_system - endpoint.workers)
+        arrivals += 1
+        _, response = receivers.receive_call(now, endpoint, number)
+        rejected += response is not None
+    # Little's law: the mean queue length is the arrival rate times the mean wait.
+    return total_queue_length / arrivals * mean_interval_ms, rejected / arrivals
 
 
 def erlang_b(workers, offered):
@@ -68,78 +80,97 @@
     return workers * blocked / (workers - offered * (1 - blocked))
 
 
-def test_one_worker_waits_as_theory_says():
-    wait, _ = waits_at(0.6, 400_000)
-    assert wait == pytest.approx(0.6 / (1 - 0.6) * 10.0, rel=WITHIN)
+def test_mean_wait_with_one_worker_matches_queueing_theory():
+    wait, _ = simulate_queue(0.6, 400_000)
+    assert wait == pytest.approx(0.6 / (1 - 0.6) * 10.0, rel=RELATIVE_TOLERANCE)
 
 
-def test_many_workers_wait_as_theory_says():
-    wait, _ = waits_at(0.65, 500_000, workers=4)
+def test_mean_wait_with_four_workers_matches_queueing_theory():
+    wait, _ = simulate_queue(0.65, 500_000, workers=4)
     offered = 2.6
-    assert wait == pytest.approx(erlang_c(4, offered) * 10.0 / (4 - offered), rel=WITHIN)
+    assert wait == pytest.approx(erlang_c(4, offered) * 10.0 / (4 - offered), rel=RELATIVE_TOLERANCE)
 
 
-def test_fixed_service_waits_half_as_long():
-    wait, _ = waits_at(0.6, 300_000, kind="fixed")
-    assert wait == pytest.approx(0.6 / (2 * (1 - 0.6)) * 10.0, rel=WITHIN)
+def test_mean_wait_with_fixed_service_times_is_half_of_that_with_exponential_ones():
+    wait, _ = simulate_queue(0.6, 300_000, distribution="fixed")
+    assert wait == pytest.approx(0.6 / (2 * (1 - 0.6)) * 10.0, rel=RELATIVE_TOLERANCE)
 
 
-def test_loss_without_a_queue_is_erlangs():
-    _, rejected = waits_at(0.9, 200_000, workers=5, queue=0)
-    assert rejected == pytest.approx(erlang_b(5, 4.5), rel=WITHIN)
+def test_rejected_share_without_a_queue_matches_the_erlang_b_formula():
+    _, rejected = simulate_queue(0.9, 200_000, workers=5, queue_capacity=0)
+    assert rejected == pytest.approx(erlang_b(5, 4.5), rel=RELATIVE_TOLERANCE)
 
 
-def test_lognormal_service_has_its_mean_and_spread():
+def test_lognormal_service_times_have_the_given_mean_and_coefficient_of_variation():
     draw = service_time_sampler("lognormal", 20.0, 1.4, random.Random(3))
     values = [draw() for _ in range(200_000)]
     mean = sum(values) / len(values)
     cv = math.sqrt(sum((v - mean) ** 2 for v in values) / len(values)) / mean
-    assert mean == pytest.approx(20.0, rel=WITHIN) and cv == pytest.approx(1.4, rel=2 * WITHIN)
+    assert mean == pytest.approx(20.0, rel=RELATIVE_TOLERANCE) and cv == pytest.approx(
+        1.4, rel=2 * RELATIVE_TOLERANCE
+    )
 
 
-def outcomes_at(receivers, endpoint, moments):
-    rows = []
-    for number, at in enumerate(moments):
+def outcomes_of_calls(receivers, endpoint, arrival_times):
+    """Return (outcome, Retry-After in ms) of a call at each time; the outcome of an admitted call is "in"."""
+    outcomes = []
+    for number, at in enumerate(arrival_times):
         receivers.advance(at)
-        _, answer = receivers.arrive(at, endpoint, number)
-        rows.append((answer.outcome, answer.retry_after_ms) if answer else ("in", 0.0))
-    return rows
+        _, response = receivers.receive_call(at, endpoint, number)
+        outcomes.append((response.outcome, response.retry_after_ms) if response else ("in", 0.0))
+    return outcomes
 
 
 def test_a_paced_limit_sends_an_exact_retry_after():
-    receivers, endpoint = build_receiver(random.Random(1), workers=50, rate=10.0, burst=1)
-    assert outcomes_at(receivers, endpoint, [0.0, 40.0, 99.0]) == [("in", 0.0), ("full", 60.0), ("full", 1.0)]
-    assert outcomes_at(receivers, endpoint, [100.0]) == [("in", 0.0)]
+    receivers, endpoint = build_receiver(random.Random(1), workers=50, rate_per_s=10.0, burst=1)
+    assert outcomes_of_calls(receivers, endpoint, [0.0, 40.0, 99.0]) == [
+        ("in", 0.0),
+        ("full", 60.0),
+        ("full", 1.0),
+    ]
+    assert outcomes_of_calls(receivers, endpoint, [100.0]) == [("in", 0.0)]
 
 
-def test_rejections_may_count_against_the_rate_limit():
-    kept, used = (
-        build_receiver(random.Random(1), workers=50, rate=10.0, window_ms=1000.0, counts_rejections=use)
-        for use in (False, True)
+def test_rejections_count_against_the_rate_limit_only_if_configured():
+    not_counted, counted = (
+        build_receiver(
+            random.Random(1),
+            workers=50,
+            rate_per_s=10.0,
+            window_ms=1000.0,
+            counts_rejections=counts_rejections,
+        )
+        for counts_rejections in (False, True)
     )
-    moments = [float(at) for at in range(0, 1000, 50)]
-    for receivers, endpoint in (kept, used):
-        outcomes = Counter(outcome for outcome, _ in outcomes_at(receivers, endpoint, moments))
+    arrival_times = [float(at) for at in range(0, 1000, 50)]
+    for receivers, endpoint in (not_counted, counted):
+        outcomes = Counter(outcome for outcome, _ in outcomes_of_calls(receivers, endpoint, arrival_times))
         assert outcomes == {"in": 10, "full": 10}
-    smooth_kept, smooth_used = (
-        build_receiver(random.Random(1), workers=50, rate=10.0, counts_rejections=use)
-        for use in (False, True)
+    paced_not_counted, paced_counted = (
+        build_receiver(random.Random(1), workers=50, rate_per_s=10.0, counts_rejections=counts_rejections)
+        for counts_rejections in (False, True)
     )
-    counts = [
-        sum(outcome == "in" for outcome, _ in outcomes_at(*pair, [float(at) for at in range(0, 5000, 50)]))
-        for pair in (smooth_kept, smooth_used)
+    admitted_counts = [
+        sum(
+            outcome == "in"
+            for outcome, _ in outcomes_of_calls(*pair, [float(at) for at in range(0, 5000, 50)])
+        )
+        for pair in (paced_not_counted, paced_counted)
     ]
-    assert counts[0] == 51 and counts[1] < 10
+    assert admitted_counts[0] == 51 and admitted_counts[1] < 10
 
 
-def test_retry_after_of_a_window_ends_with_it():
-    receivers, endpoint = build_receiver(random.Random(1), workers=50, rate=2.0, window_ms=1000.0)
-    assert outcomes_at(receivers, endpoint, [0.0, 1.0, 400.0, 1000.0])[2:] == [("full", 600.0), ("in", 0.0)]
+def test_retry_after_of_a_windowed_limit_is_the_rest_of_the_window():
+    receivers, endpoint = build_receiver(random.Random(1), workers=50, rate_per_s=2.0, window_ms=1000.0)
+    assert outcomes_of_calls(receivers, endpoint, [0.0, 1.0, 400.0, 1000.0])[2:] == [
+        ("full", 600.0),
+        ("in", 0.0),
+    ]
 
 
-def test_a_full_queue_rejects():
-    receivers, endpoint = build_receiver(random.Random(1), queue=2, kind="fixed")
-    assert [outcome for outcome, _ in outcomes_at(receivers, endpoint, [0.0, 1.0, 2.0, 3.0])] == [
+def test_a_call_is_rejected_when_the_queue_is_full():
+    receivers, endpoint = build_receiver(random.Random(1), queue_capacity=2, distribution="fixed")
+    assert [outcome for outcome, _ in outcomes_of_calls(receivers, endpoint, [0.0, 1.0, 2.0, 3.0])] == [
         "in",
         "in",
         "in",
@@ -148,13 +179,13 @@
 
 
 def test_a_pause_delays_every_completion_and_keeps_their_order():
-    receivers, endpoint = build_receiver(random.Random(1), workers=2, kind="fixed")
-    first, _ = receivers.arrive(0.0, endpoint, 1)
-    second, _ = receivers.arrive(4.0, endpoint, 2)
+    receivers, endpoint = build_receiver(random.Random(1), workers=2, distribution="fixed")
+    first, _ = receivers.receive_call(0.0, endpoint, 1)
+    second, _ = receivers.receive_call(4.0, endpoint, 2)
     receivers.apply(5.0, Fault(FaultKind.PAUSE, duration_ms=100.0), [endpoint])
-    third, _ = receivers.arrive(6.0, endpoint, 3)
+    third, _ = receivers.receive_call(6.0, endpoint, 3)
     assert receivers.advance(109.9) == []
-    assert [(a.call.tag, a.outcome) for a in receivers.advance(200.0)] == [
+    assert [(response.call.tag, response.outcome) for response in receivers.advance(200.0)] == [
         (1, "done"),
         (2, "done"),
         (3, "done"),
@@ -163,11 +194,11 @@
 
 
 def test_a_crash_resets_calls_in_flight_and_none_completes_later():
-    receivers, endpoint = build_receiver(random.Random(1), kind="fixed")
+    receivers, endpoint = build_receiver(random.Random(1), distribution="fixed")
     for tag in (1, 2, 3):
-        receivers.arrive(0.0, endpoint, tag)
-    answers = receivers.apply(5.0, REFUSE_CONNECTIONS, [endpoint])
-    assert [(a.call.tag, a.outcome) for a in answers] == [
+        receivers.receive_call(0.0, endpoint, tag)
+    responses = receivers.apply(5.0, REFUSE_CONNECTIONS, [endpoint])
+    assert [(response.call.tag, response.outcome) for response in responses] == [
         (1, "reset"),
         (2, "reset"),
         (3, "reset"),
@@ -179,59 +210,66 @@
     )
 
 
-def test_warm_up_after_recovery_and_overload():
+def test_a_recovered_destination_warms_up_and_crashes_when_overloaded():
     events = []
-    receivers, endpoint = build_receiver(random.Random(1), workers=50, kind="fixed", rate=20.0, cold=0.2)
+    receivers, endpoint = build_receiver(
+        random.Random(1), workers=50, distribution="fixed", rate_per_s=20.0, cold_capacity_share=0.2
+    )
     receivers.observe = events.append
     destination = endpoint.destination
     destination.overload_multiple = 2.0
     destination.overload_window_ms = 500.0
     receivers.apply(0.0, REFUSE_CONNECTIONS, [endpoint])
     receivers.apply(1000.0, HEAL, [endpoint])
-    assert destination.warmth(1000.0) == pytest.approx(0.2)
-    assert destination.warmth(1500.0) == pytest.approx(0.6)
+    assert destination.capacity_share(1000.0) == pytest.approx(0.2)
+    assert destination.capacity_share(1500.0) == pytest.approx(0.6)
     outcomes = [
-        outcome for outcome, _ in outcomes_at(receivers, endpoint, [1000.0 + 5.0 * n for n in range(30)])
+        outcome
+        for outcome, _ in outcomes_of_calls(receivers, endpoint, [1000.0 + 5.0 * n for n in range(30)])
     ]
     changes = [event.change for event in events if isinstance(event, DestinationAvailabilityChanged)]
     assert changes == [DestinationChange.RECOVERED, DestinationChange.OVERLOADED]
     assert outcomes[-1] == "reset" and endpoint.is_crashed
-    overloaded = next(
+    overload_index = next(
         index
         for index, event in enumerate(events)
         if isinstance(event, DestinationAvailabilityChanged) and event.change == DestinationChange.OVERLOADED
     )
-    assert 8 <= sum(isinstance(event, CallArrived) for event in events[:overloaded]) <= 20
+    assert 8 <= sum(isinstance(event, CallArrived) for event in events[:overload_index]) <= 20
 
 
-def test_a_destination_that_rejected_every_call_recovers_when_that_ends():
-    receivers, endpoint = build_receiver(random.Random(1), workers=50, kind="fixed", rate=20.0, cold=0.2)
+def test_a_destination_that_rejected_all_calls_recovers_when_the_rejection_expires():
+    receivers, endpoint = build_receiver(
+        random.Random(1), workers=50, distribution="fixed", rate_per_s=20.0, cold_capacity_share=0.2
+    )
     events = []
     receivers.observe = events.append
     unavailable = Fault(FaultKind.DESTINATION_UNAVAILABLE, duration_ms=1000.0)
     receivers.apply(5000.0, unavailable, [endpoint])
-    assert receivers.arrive(5900.0, endpoint, 1).answer.outcome == CallOutcome.RATE_LIMITED
-    assert endpoint.destination.warmth(5900.0) == 1.0
-    assert receivers.arrive(6500.0, endpoint, 2).answer is None
-    assert endpoint.destination.warmth(6500.0) == pytest.approx(0.2 + 0.8 * 0.5)
+    assert receivers.receive_call(5900.0, endpoint, 1).response.outcome == CallOutcome.RATE_LIMITED
+    assert endpoint.destination.capacity_share(5900.0) == 1.0
+    assert receivers.receive_call(6500.0, endpoint, 2).response is None
+    assert endpoint.destination.capacity_share(6500.0) == pytest.approx(0.2 + 0.8 * 0.5)
     changes = [
         (event.at, event.change) for event in events if isinstance(event, DestinationAvailabilityChanged)
     ]
     assert changes == [(5000.0, DestinationChange.DOWN), (6000.0, DestinationChange.RECOVERED)]
 
 
-def test_no_overload_within_the_budget_nor_once_warm():
-    receivers, endpoint = build_receiver(random.Random(1), workers=50, kind="fixed", rate=20.0, cold=0.2)
+def test_no_overload_within_the_budget_or_after_the_warm_up():
+    receivers, endpoint = build_receiver(
+        random.Random(1), workers=50, distribution="fixed", rate_per_s=20.0, cold_capacity_share=0.2
+    )
     endpoint.destination.overload_multiple = 2.0
     endpoint.destination.overload_window_ms = 500.0
     receivers.apply(0.0, REFUSE_CONNECTIONS, [endpoint])
     receivers.apply(1000.0, HEAL, [endpoint])
-    outcomes_at(receivers, endpoint, [1000.0 + 100.0 * n for n in range(10)])
-    outcomes_at(receivers, endpoint, [2001.0 + n for n in range(200)])
+    outcomes_of_calls(receivers, endpoint, [1000.0 + 100.0 * n for n in range(10)])
+    outcomes_of_calls(receivers, endpoint, [2001.0 + n for n in range(200)])
     assert not endpoint.destination.is_overloaded and not endpoint.is_crashed
 
 
-def test_the_connection_table_has_a_bound():
+def test_connections_above_the_connection_limit_are_rejected():
     receivers, endpoint = build_receiver(random.Random(1))
     endpoint.max_connections = 2
     assert [receivers.open_connection(endpoint) for _ in range(3)] == [True, True, False]
@@ -240,16 +278,16 @@
 
 
 @pytest.mark.parametrize("kind", sorted(set(FaultKind) - SOCKET_FAULTS))
-def test_every_fault_that_is_not_one_of_the_sockets_can_be_applied_and_healed(kind):
-    receivers, endpoint = build_receiver(random.Random(1), kind="fixed", rate=100.0)
+def test_every_fault_of_the_model_can_be_applied_and_healed(kind):
+    receivers, endpoint = build_receiver(random.Random(1), distribution="fixed", rate_per_s=100.0)
     receivers.apply(0.0, Fault(kind, factor=0.5, duration_ms=100.0), [endpoint])
     receivers.apply(200.0, Fault(FaultKind.JOIN), [endpoint])
     receivers.apply(200.0, HEAL, [endpoint])
-    assert outcomes_at(receivers, endpoint, [1000.0]) == [("in", 0.0)]
+    assert outcomes_of_calls(receivers, endpoint, [1000.0]) == [("in", 0.0)]
 
 
 @pytest.mark.parametrize("kind", sorted(SOCKET_FAULTS))
-def test_faults_of_the_sockets_are_none_of_the_model(kind):
+def test_the_model_raises_an_error_for_socket_faults(kind):
     receivers, endpoint = build_receiver(random.Random(1))
     with pytest.raises(ValueError, match=kind):
         receivers.apply(0.0, Fault(kind), [endpoint])
@@ -280,7 +318,7 @@
         kind = rng.choice(
             [
                 FaultKind.REFUSE_CONNECTIONS,
-                FaultKind.GO_SILENT,
+                FaultKind.BECOME_UNRESPONSIVE,
                 FaultKind.ERRORS,
                 FaultKind.SLOW_DOWN,
                 FaultKind.WITHHOLD_RESPONSES,
@@ -290,12 +328,12 @@
     if number % 500 == 300:
         receivers.apply(now, Fault(FaultKind.HEAL), endpoints)
         receivers.apply(now, Fault(FaultKind.PAUSE, duration_ms=300.0), endpoints[2:3])
-    receivers.arrive(now, rng.choice(endpoints), number)
+    receivers.receive_call(now, rng.choice(endpoints), number)
 sys.stdout.write(json.dumps([[type(event).__name__, *event] for event in events]))
 """
 
 
-def test_the_same_seed_gives_the_same_events_byte_by_byte():
+def test_the_same_seed_gives_byte_identical_events():
     runs = [
         subprocess.run(
             [sys.executable, "-c", SEEDED_SCRIPT],
