--- a/swiftthread/lab/__init__.py
+++ b/swiftthread/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: emulated receivers, load, a referee and experiments. The delivery node never imports it."""
+"""The laboratory: emulated receivers, a load generator, a referee and experiments.
+
+The delivery node never imports it.
+"""
--- a/swiftthread/lab/background_tasks.py
+++ b/swiftthread/lab/background_tasks.py
@@ -1,11 +1,11 @@
-"""Tasks that run beside the caller and are kept from garbage collection until they end."""
+"""Tasks that run in the background, with strong references that prevent their garbage collection."""
 
 import asyncio
 from collections.abc import Coroutine
 
 
 class BackgroundTasks:
-    """Owner of tasks whose results nobody awaits; asyncio logs what they raise."""
+    """Owner of tasks whose results are not awaited. asyncio logs the exceptions that they raise."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
@@ -17,6 +17,6 @@
         task.add_done_callback(self._tasks.discard)
 
     def cancel(self) -> None:
-        """Cancel all tasks that have not ended."""
+        """Cancel all tasks that are not done."""
         for task in self._tasks:
             task.cancel()
--- a/swiftthread/lab/builds.py
+++ b/swiftthread/lab/builds.py
@@ -1,4 +1,4 @@
-"""Builds to compare: this source tree, or another git revision in a temporary worktree."""
+"""The source trees from which nodes run: this one, or a temporary worktree of another git revision."""
 
 import shutil
 import subprocess
@@ -10,12 +10,16 @@
 from swiftthread.lab.errors import GitError, RevisionError
 
 SOURCE_TREE = Path(__file__).parents[2]
-# The name of this source tree among revisions.
+# The name that stands for this source tree in place of a git revision.
 TREE_REVISION = "tree"
 
 
-def _git(command: str, *arguments: str) -> str:
-    """Return the output of a git command in this source tree."""
+def _run_git(command: str, *arguments: str) -> str:
+    """Run a git command in this source tree and return its output.
+
+    Raises:
+        GitError: The command failed.
+    """
     completed = subprocess.run(
         ["git", "-C", str(SOURCE_TREE), command, *arguments], capture_output=True, text=True, check=False
     )
@@ -26,26 +30,26 @@
 
 @contextmanager
 def source_tree(revision: str | None) -> Iterator[Path]:
-    """Provide the folder of a build; a worktree is removed at the end.
+    """Provide the folder of a source tree. A temporary worktree is removed when the context exits.
 
     Args:
-        revision: A git revision; None or `TREE_REVISION` for this source tree.
+        revision: A git revision. None or `TREE_REVISION` stands for this source tree.
 
     Raises:
-        RevisionError: There is no such revision.
-        GitError: The worktree cannot be made.
+        RevisionError: The revision does not exist.
+        GitError: The worktree cannot be created.
     """
     if revision in (None, TREE_REVISION):
         yield SOURCE_TREE
         return
     try:
-        commit = _git("rev-parse", "--verify", f"{revision}^{{commit}}")
+        commit = _run_git("rev-parse", "--verify", f"{revision}^{{commit}}")
     except GitError:
         raise RevisionError(str(revision), "no such revision") from None
     folder = Path(tempfile.mkdtemp(prefix="lab-build-"))
-    _git("worktree", "add", "--detach", "--force", str(folder), commit)
+    _run_git("worktree", "add", "--detach", "--force", str(folder), commit)
     try:
         yield folder
     finally:
         shutil.rmtree(folder, ignore_errors=True)
-        _git("worktree", "prune")
+        _run_git("worktree", "prune")
--- a/swiftthread/lab/capacity.py
+++ b/swiftthread/lab/capacity.py
@@ -1,4 +1,4 @@
-"""The capacity of one node under closed-loop clients, beside that of the floor program."""
+"""Measures the capacity of one node under closed-loop clients, compared with the floor program."""
 
 import json
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -40,23 +40,23 @@
 room = 4000
 sockets = 4096
 """
-# Clients in one process of the load generator, few enough that it is not the bottleneck.
+# Clients in one client process. The number is low enough that the process is not the bottleneck.
 CLIENTS_PER_PROCESS = 128
-# The random seed of all runs.
+# Random seed of all runs.
 SEED = 1
 RESULTS_FILE = "limits.jsonl"
 
 
 class AckRate(NamedTuple):
-    """How fast events were acked.
+    """The rate at which events were acked.
 
     Attributes:
-        per_second: Acks a second while clients submitted.
-        later_count: Acks after that.
+        per_second: Acks per second while clients submitted events.
+        count_after_load: Acks after clients had stopped submitting events.
     """
 
     per_second: float
-    later_count: int
+    count_after_load: int
 
 
 class CapacityResult(RunResult):
@@ -64,8 +64,8 @@
 
     Attributes:
         clients: The number of closed-loop clients.
-        acked_per_s: Acks a second while clients submitted.
-        acked_after: Acks after that.
+        acked_per_s: Acks per second while clients submitted events.
+        acked_after: Acks after clients had stopped submitting events.
     """
 
     clients: int
@@ -76,23 +76,23 @@
 async def measure(
     client_counts: Iterable[int], seconds: float, folder: Path, report: Callable[[str], None]
 ) -> list[CapacityResult]:
-    """Run the floor program and the node in turn with each number of clients.
+    """Run the floor program and then the node, with each number of clients.
 
     Args:
         client_counts: Numbers of closed-loop clients.
-        seconds: How long clients submit in each run.
-        folder: Where the runs' folders are made and their results are appended to `limits.jsonl`.
+        seconds: The time for which clients submit events in each run.
+        folder: The folder for the runs' folders and for `limits.jsonl`, to which results are appended.
         report: Called with one line for each result.
 
     Raises:
-        RunError: A run could not be made.
+        RunError: A run failed.
     """
     results = []
     for clients in client_counts:
         for node in (NodeKind.FLOOR, NodeKind.SWIFTTHREAD):
             result = await _measure_node(node, clients, seconds, folder / f"{node}-{clients}")
             results.append(result)
-            report(f"{node} at {clients} clients: {result.acked_per_s:.0f} acked a second")
+            report(f"{node} at {clients} clients: {result.acked_per_s:.0f} acks/s")
             with open(folder / RESULTS_FILE, "a", encoding="utf-8") as results_file:
                 results_file.write(json.dumps(result.to_json_object()) + "\n")
     return results
@@ -110,12 +110,12 @@
         **msgspec.structs.asdict(result),
         clients=clients,
         acked_per_s=ack_rate.per_second,
-        acked_after=ack_rate.later_count,
+        acked_after=ack_rate.count_after_load,
     )
 
 
 def _ack_rate(records: Sequence[run_records.AnyRecord], seconds: float) -> AckRate:
-    """Return the rate of acks in the time in which clients submitted."""
+    """Return the rate of acks while clients submitted events, and the number of later acks."""
     starts_at = min(record.at for record in records if isinstance(record, run_records.EventSubmitted))
     ends_at = starts_at + 1000.0 * seconds
     acked_times = [
@@ -124,11 +124,11 @@
         if isinstance(record, run_records.ReplySent) and record.outcome == CallOutcome.DONE
     ]
     count = sum(at <= ends_at for at in acked_times)
-    return AckRate(per_second=count / seconds, later_count=len(acked_times) - count)
+    return AckRate(per_second=count / seconds, count_after_load=len(acked_times) - count)
 
 
-def table(results: Iterable[CapacityResult]) -> Iterator[str]:
-    """Yield the lines of a table of the results."""
+def format_table(results: Iterable[CapacityResult]) -> Iterator[str]:
+    """Yield the lines of a text table of the results."""
     yield "clients  node         taken   acked  refused  acked/s  CPU ms/ack  p50 ms  p99 ms  RSS MiB  void"
     for result in results:
         accepted = result.counts.get(Count.ACCEPTED, 0)
--- a/swiftthread/lab/cli/__init__.py
+++ b/swiftthread/lab/cli/__init__.py
@@ -1,7 +1,7 @@
 """The laboratory's command line.
 
-Commands import what they use when they run, so that `--help` and checks of files start fast. Each exits with
-0 (all rules kept), 1 (some broken) or 2 (invalid input).
+Commands import the modules that they need only when they run, so that `--help` and `check` start fast. The
+exit code is 0 if no rule was broken, 1 if a rule was broken, and 2 for invalid input or a run that failed.
 """
 
 import click
@@ -14,7 +14,10 @@
 
 @click.group()
 def main() -> None:
-    """Emulated receivers, load, a referee, experiments. All figures made here are the emulator's."""
+    """Run incidents with emulated receivers, a load generator and a referee.
+
+    All figures are measured against the emulator, not against real receivers.
+    """
 
 
 for command in (
--- a/swiftthread/lab/cli/folder_commands.py
+++ b/swiftthread/lab/cli/folder_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the folder of an earlier run: write its report or judge its records again."""
+"""Commands for the folder of an earlier run: write its report again, or judge its records again."""
 
 import sys
 from pathlib import Path
@@ -6,25 +6,25 @@
 import click
 
 from swiftthread.lab import incident_file
-from swiftthread.lab.cli.support import EXIT_BROKEN_RULES, InvalidInput
+from swiftthread.lab.cli.support import EXIT_BROKEN_RULES, InvalidInputError
 
 
 @click.command()
 @click.argument("folder", type=click.Path(exists=True, path_type=Path))
 def report(folder: Path) -> None:
-    """Write the report of a run's folder anew."""
+    """Write the report of an earlier run again, from its FOLDER."""
     from swiftthread.lab.report import write_report
 
     try:
         click.echo(write_report(folder))
     except OSError as error:
-        raise InvalidInput(f"{error.filename}: {error.strerror}") from None
+        raise InvalidInputError(f"{error.filename}: {error.strerror}") from None
 
 
 @click.command()
 @click.argument("folder", type=click.Path(exists=True, path_type=Path))
 def judge(folder: Path) -> None:
-    """Judge the rows of a run's folder anew."""
+    """Judge the records of an earlier run again, from its FOLDER."""
     from swiftthread.lab import referee
     from swiftthread.lab.runner import INCIDENT_FILE, read_folder_records
 
--- a/swiftthread/lab/cli/incident_commands.py
+++ b/swiftthread/lab/cli/incident_commands.py
@@ -1,14 +1,14 @@
-"""Commands on incident files: list, check and show them."""
+"""Commands for incident files: list, check and show them."""
 
 import click
 
 from swiftthread.lab import incident_file
-from swiftthread.lab.cli.support import InvalidInput, load_incident
+from swiftthread.lab.cli.support import InvalidInputError, load_incident
 
 
 @click.command("list")
 def list_incidents() -> None:
-    """The incidents that are shipped."""
+    """List the shipped incidents."""
     for name in incident_file.shipped_names():
         click.echo(f"{name:24} {incident_file.load(name).title}")
 
@@ -16,7 +16,7 @@
 @click.command()
 @click.argument("paths", nargs=-1, required=True)
 def check(paths: tuple[str, ...]) -> None:
-    """Read incident files and report everything that is wrong with them."""
+    """Check incident files and print all errors."""
     errors = []
     for path in paths:
         try:
@@ -24,14 +24,14 @@
         except incident_file.IncidentError as error:
             errors.append(str(error))
     if errors:
-        raise InvalidInput("\n".join(errors))
-    click.echo(f"{len(paths)} usable")
+        raise InvalidInputError("\n".join(errors))
+    click.echo(f"{len(paths)} valid")
 
 
 @click.command()
 @click.argument("path")
 def show(path: str) -> None:
-    """What an incident does and what a reader should see."""
+    """Show the description of an incident and the steps of its timeline."""
     incident = load_incident(path)
     click.echo(f"{incident.title}\n\n{incident.sees.strip()}\n")
     for step in incident.step:
--- a/swiftthread/lab/cli/process_commands.py
+++ b/swiftthread/lab/cli/process_commands.py
@@ -1,4 +1,4 @@
-"""Commands that are a process of a run: the emulator, clients, and programs in a node's place."""
+"""Commands that run as one process of a run: the emulator, the clients, and the baseline nodes."""
 
 import asyncio
 import gc
@@ -12,14 +12,14 @@
 
 
 def _load_toml_or_json(path: str) -> Incident:
-    """Return an incident by path or name, or the one of a run's folder as JSON."""
+    """Load an incident by its name or path. A path to a JSON file is the stored incident of a run."""
     if path.endswith(".json"):
         return incident_file.load_json(Path(path))
     return load_incident(path)
 
 
 def _disable_garbage_collection() -> None:
-    """Disable garbage collection: in a run, a pause of this process would look like one of a node."""
+    """Disable garbage collection, because a pause of this process would look like a pause of a node."""
     gc.collect()
     gc.freeze()
     gc.disable()
@@ -28,11 +28,12 @@
 @click.command()
 @click.argument("path")
 @click.option("--seed", type=int, default=1)
-@click.option("--rows", default="/dev/null", help="A file for what happens.")
+@click.option("--rows", default="/dev/null", help="File to which the records of the run are written.")
 def emulate(path: str, seed: int, rows: str) -> None:
-    """Only the receivers, discovery and the platform.
+    """Run only the receivers, discovery and the platform.
 
-    Prints where they listen, then reads `go MOMENT` and `stop`.
+    Prints their addresses, then reads the commands `go START_TIME` (ms on the monotonic clock) and `stop`
+    from standard input.
     """
     from swiftthread.lab import emulator
 
@@ -47,7 +48,7 @@
 @click.option("--part", type=int, default=0)
 @click.option("--rows", default="/dev/null")
 def clients(path: str, seed: int, part: int, rows: str) -> None:
-    """One process of clients of a run."""
+    """Run one client process of a run."""
     from swiftthread.lab import load
 
     incident = _load_toml_or_json(path)
@@ -58,7 +59,7 @@
 @click.command(hidden=True)
 @click.argument("kind", type=click.Choice(["once", "backoff", "aimd", "floor"]))
 def relay(kind: str) -> None:
-    """A baseline in a node's place."""
+    """Run a baseline or the floor program as a node."""
     if kind == "floor":
         from swiftthread.lab import floor
 
--- a/swiftthread/lab/cli/run_commands.py
+++ b/swiftthread/lab/cli/run_commands.py
@@ -1,4 +1,4 @@
-"""Commands that run incidents: one run, a matrix, a comparison of builds, and the limits of one node."""
+"""Commands that run incidents: a single run, a matrix, a comparison of builds, and the limits of one node."""
 
 import sys
 import tempfile
@@ -9,7 +9,7 @@
 import click
 
 from swiftthread.lab import incident_file
-from swiftthread.lab.cli.support import EXIT_BROKEN_RULES, InvalidInput, load_incident, run_async
+from swiftthread.lab.cli.support import EXIT_BROKEN_RULES, InvalidInputError, load_incident, run_async
 from swiftthread.lab.incident import Incident
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
 
 
 def format_result(result: "RunResult") -> Iterator[str]:
-    """Yield the lines of a run's result for a terminal."""
+    """Yield the lines that describe a run's result on a terminal."""
     from swiftthread.lab.outcomes import EventOutcome
     from swiftthread.lab.referee import Count
 
@@ -31,8 +31,8 @@
     yield (
         f"  {counts.get(Count.EVENTS, 0)} events, {counts.get(Count.ACKED, 0)} acked, "
         f"{counts.get(Count.REJECTED, 0)} rejected at submission, "
-        f"{counts.get(EventOutcome.HANDED_BACK, 0)} handed back, "
-        f"{counts.get(EventOutcome.GIVEN_UP, 0)} given up"
+        f"{counts.get(EventOutcome.HANDED_BACK, 0)} rejected later, "
+        f"{counts.get(EventOutcome.GIVEN_UP, 0)} abandoned"
     )
     latency = result.submission_latency_ms
     yield (
@@ -47,23 +47,27 @@
 
 @click.command()
 @click.argument("path")
-@click.option("--seed", type=int, help="Of all chance; the incident's own by default.")
+@click.option("--seed", type=int, help="Random seed. [default: the incident's seed]")
 @click.option(
     "--node",
     default="swiftthread",
     show_default=True,
-    help="swiftthread, once, backoff, aimd, floor, or exec:COMMAND.",
+    help="Program to run as each node: swiftthread, once, backoff, aimd, floor, or exec:COMMAND.",
 )
-@click.option("--rev", help="A git revision to take the node from instead of this tree.")
-@click.option("--into", type=click.Path(path_type=Path), help="A folder for rows, logs and the report.")
-@click.option("--report/--no-report", default=True, help="Write report.html there.")
+@click.option("--rev", help="Git revision of the node. [default: this source tree]")
+@click.option(
+    "--into",
+    type=click.Path(path_type=Path),
+    help="Folder for records, logs and the report. [default: a temporary folder]",
+)
+@click.option("--report/--no-report", default=True, help="Write report.html to the folder.")
 def run(path: str, seed: int | None, node: str, rev: str | None, into: Path | None, report: bool) -> None:
-    """Play one incident, judge it, and write a report."""
+    """Run one incident, judge it, and write a report."""
     from swiftthread.lab.runner import COMMAND_PREFIX, NodeKind
 
     incident = load_incident(path)
     if node not in list(NodeKind) and not node.startswith(COMMAND_PREFIX):
-        raise InvalidInput(f"--node {node}: is none of {', '.join(NodeKind)} and no exec:COMMAND")
+        raise InvalidInputError(f"--node {node}: is not one of {', '.join(NodeKind)}, nor exec:COMMAND")
     folder = into or Path(tempfile.mkdtemp(prefix="lab-"))
     result = run_async(_execute_run, incident, incident.seed if seed is None else seed, node, rev, folder)
     _show_progress("")
@@ -88,7 +92,7 @@
 
 
 def _show_progress(text: str) -> None:
-    """Replace the present line of a terminal; nothing is shown elsewhere."""
+    """Replace the current line on standard error if it is a terminal. Otherwise print nothing."""
     if sys.stderr.isatty():
         click.echo(f"\r{text:40}", err=True, nl=False)
 
@@ -99,14 +103,31 @@
 
 @click.command()
 @click.argument("paths", nargs=-1, required=True)
-@click.option("--seeds", default=3, show_default=True, help="Runs of each, with seeds 1 to this.")
 @click.option(
-    "--node", "nodes", multiple=True, default=("swiftthread",), show_default=True, help="May be repeated."
+    "--seeds",
+    default=3,
+    show_default=True,
+    help="Number of runs of each combination, with the seeds 1 to SEEDS.",
+)
+@click.option(
+    "--node",
+    "nodes",
+    multiple=True,
+    default=("swiftthread",),
+    show_default=True,
+    help="Program to run as each node. Can be repeated.",
+)
+@click.option(
+    "--rev",
+    "revs",
+    multiple=True,
+    help="Git revision to run in addition to this source tree. Can be repeated.",
+)
+@click.option(
+    "--load", "loads", multiple=True, type=float, help="Factor on the incident's rate. Can be repeated."
 )
-@click.option("--rev", "revs", multiple=True, help="Git revisions beside this tree; may be repeated.")
-@click.option("--load", "loads", multiple=True, type=float, help="x the incident's rate; may be repeated.")
 @click.option("--into", type=click.Path(path_type=Path), default=Path("lab-runs"), show_default=True)
-@click.option("--jobs", type=int, help="Runs at a time; by default as many as the cores allow.")
+@click.option("--jobs", type=int, help="Number of concurrent runs. [default: as many as the cores allow]")
 def matrix(
     paths: tuple[str, ...],
     seeds: int,
@@ -116,7 +137,7 @@
     into: Path,
     jobs: int | None,
 ) -> None:
-    """Play incidents x loads x seeds x builds, and report them beside each other."""
+    """Run all combinations of incidents, loads, seeds, nodes and builds, and report them side by side."""
     from swiftthread.lab import builds, experiment
     from swiftthread.lab.report import write_matrix
 
@@ -137,7 +158,7 @@
 @click.option("--into", type=click.Path(path_type=Path), default=Path("lab-runs"), show_default=True)
 @click.option("--jobs", type=int)
 def compare(rev: str, paths: tuple[str, ...], seeds: int, into: Path, jobs: int | None) -> None:
-    """What changed from a git revision to this tree, and whether it is more than chance."""
+    """Compare a git revision with this source tree, and say whether differences are more than chance."""
     from swiftthread.lab import builds, experiment
     from swiftthread.lab.runner import NodeKind
 
@@ -151,13 +172,15 @@
 
 @click.command()
 @click.option("--clients", "counts", multiple=True, type=int, default=(8, 32, 128, 512), show_default=True)
-@click.option("--seconds", default=6.0, show_default=True, help="Of submissions for each row.")
+@click.option(
+    "--seconds", default=6.0, show_default=True, help="Time for which clients submit events in each run."
+)
 @click.option("--into", type=click.Path(path_type=Path))
 def limits(counts: tuple[int, ...], seconds: float, into: Path | None) -> None:
-    """One node's limits at closed-loop clients, beside the floor program."""
+    """Measure the limits of one node under closed-loop clients, compared with the floor program."""
     from swiftthread.lab import capacity
 
     folder = into or Path(tempfile.mkdtemp(prefix="lab-limits-"))
     results = run_async(capacity.measure, counts, seconds, folder, _show_result_line)
-    for line in capacity.table(results):
+    for line in capacity.format_table(results):
         click.echo(line)
--- a/swiftthread/lab/errors.py
+++ b/swiftthread/lab/errors.py
@@ -1,14 +1,14 @@
-"""Errors of runs. Their texts are one line each, for the command line."""
+"""Exceptions of runs. Each text is one line that the command line prints."""
 
 from pathlib import Path
 
 
 class RunError(Exception):
-    """A run that could not be made; the text says which part failed and why."""
+    """A run failed. The text says which part of it failed and why."""
 
 
 class ProcessError(RunError):
-    """A process of a run failed.
+    """A process of a run did not start, exited too early or did not stop.
 
     Attributes:
         process: The process's name.
@@ -20,10 +20,10 @@
 
 
 class RevisionError(RunError):
-    """A build that could not be checked out.
+    """A git revision does not exist.
 
     Attributes:
-        revision: The git revision that was asked for.
+        revision: The requested git revision.
     """
 
     def __init__(self, revision: str, text: str) -> None:
@@ -32,7 +32,7 @@
 
 
 class GitError(RunError):
-    """A git command that failed.
+    """A git command failed.
 
     Attributes:
         command: The git subcommand.
@@ -44,7 +44,7 @@
 
 
 class RunFolderExistsError(RunError):
-    """The folder of a run exists already."""
+    """The folder for a run already exists."""
 
     def __init__(self, folder: Path) -> None:
-        super().__init__(f"{folder}: is there already; name another folder with --into")
+        super().__init__(f"{folder}: already exists; choose another folder with --into")
--- a/swiftthread/lab/event_loop_lag.py
+++ b/swiftthread/lab/event_loop_lag.py
@@ -1,15 +1,17 @@
-"""How late the event loop of a laboratory process runs, recorded so that a slow laboratory voids its runs."""
+"""Measures the event loop lag of a laboratory process, so that a run with a slow laboratory becomes void."""
 
 import asyncio
 
 from swiftthread.lab.run_records import EventLoopLagged, RecordWriter, monotonic_ms
 
-CHECK_INTERVAL_MS = 10.0  # ms between two checks
-REPORT_INTERVAL_MS = 250.0  # ms that one record covers
+# Time between two measurements.
+CHECK_INTERVAL_MS = 10.0
+# Time that one record covers.
+REPORT_INTERVAL_MS = 250.0
 
 
 class EventLoopLagMonitor:
-    """Measures by how much sleeps overrun, and records the longest overrun of each interval."""
+    """Measures how much later than requested sleeps end, and records the largest lag of each interval."""
 
     def __init__(self, process: str, record_writer: RecordWriter) -> None:
         self._process = process
@@ -18,7 +20,7 @@
         self._reported_at = monotonic_ms()
 
     async def check(self) -> bool:
-        """Sleep for one check interval and measure; return whether a record was written."""
+        """Sleep for one check interval and measure its lag. Return whether a record was written."""
         expected_at = monotonic_ms() + CHECK_INTERVAL_MS
         await asyncio.sleep(CHECK_INTERVAL_MS / 1000.0)
         now = monotonic_ms()
--- a/swiftthread/lab/incident.py
+++ b/swiftthread/lab/incident.py
@@ -1,6 +1,7 @@
-"""An incident: receivers, load, a fleet of nodes and a timeline of faults, as tables of a TOML file.
+"""The incident format: receivers, load, a fleet of nodes and a timeline of faults, as tables of a TOML file.
 
-Keys and defaults of the file are the fields here; keys that end in `_ms` are milliseconds, in `_s` seconds.
+The fields of these classes are the keys of the file, with their defaults. Keys that end in `_ms` are in
+milliseconds, keys that end in `_s` in seconds.
 """
 
 from collections.abc import Iterator
@@ -17,51 +18,57 @@
 
 
 class EndpointFault(StrEnum):
-    """Steps that the emulator applies to endpoints."""
+    """Steps that the emulator applies to endpoints; see `swiftthread.lab.faults` for their effects."""
 
-    REFUSE = "refuse"
-    VANISH = "vanish"
+    REFUSE_CONNECTIONS = "refuse"
+    BECOME_UNRESPONSIVE = "vanish"
     ERRORS = "errors"
-    RESET_AFTER = "reset_after"
-    HALF_ANSWERS = "half_answers"
-    SWALLOW = "swallow"
-    FULL = "full"
-    SHUT = "shut"
-    SLOW = "slow"
-    LIMIT = "limit"
+    RESET_AFTER_REQUEST = "reset_after"
+    TRUNCATE_RESPONSES = "half_answers"
+    WITHHOLD_RESPONSES = "swallow"
+    REJECT = "full"
+    DESTINATION_UNAVAILABLE = "shut"
+    SLOW_DOWN = "slow"
+    CHANGE_RATE_LIMIT = "limit"
     PAUSE = "pause"
     DRAIN = "drain"
-    GONE = "gone"
+    REMOVE = "gone"
     JOIN = "join"
     HEAL = "heal"
-    RESET_BEFORE = "reset_before"
+    RESET_BEFORE_REQUEST = "reset_before"
     SLOW_READ = "slow_read"
     SLOW_WRITE = "slow_write"
 
 
 class NodeFault(StrEnum):
-    """Steps that the runner applies to the processes of nodes."""
+    """Steps that the runner applies to node processes."""
 
     KILL = "kill"
+    """The process gets SIGKILL, and is started again later."""
     RESTART = "restart"
+    """The process gets SIGTERM, and is started again later."""
     FREEZE = "freeze"
+    """The process is suspended by SIGSTOP, and resumed by SIGCONT after `for_ms`."""
 
 
 class DiscoveryFault(StrEnum):
     """Steps that the emulator applies to discovery."""
 
-    SILENT = "discovery_silent"
-    CUT = "discovery_cut"
+    STOP_RESPONDING = "discovery_silent"
+    """Requests for the endpoint list get no response, and no changes are sent, for `for_ms`."""
+    ABORT_WATCHES = "discovery_cut"
+    """The connections of all discovery watches are aborted."""
 
 
 class LoadChange(StrEnum):
     """Steps that change the load."""
 
     BURST = "burst"
+    """The arrival rate of an open loop is multiplied by `factor` for `for_ms`."""
 
 
 class Effect(StrEnum):
-    """What a repeated delivery of an event may do."""
+    """The effect of delivering an event more than once."""
 
     IDEMPOTENT = "idempotent"
     DEDUPLICATED = "deduplicated"
@@ -69,7 +76,7 @@
 
 
 class DeduplicationGroup(StrEnum):
-    """The endpoints that recognise a repeated delivery to one another."""
+    """The group of endpoints within which a repeated delivery of an event is recognised."""
 
     ALL = "all"
     ZONE = "zone"
@@ -80,7 +87,21 @@
 
 
 class Stream(StrictTable, frozen=True):
-    """A stream type: the effect, latency objective and utility of its events."""
+    """A stream type: the effect, latency objective and utility of its events.
+
+    Attributes:
+        name: The name of the stream type.
+        effect: The effect of a repeated delivery.
+        slo_ms: The latency objective.
+        max_age_ms: The max age of an event.
+        utility: The utility of an event that is acked within `slo_ms`.
+        late_utility: The fraction of the utility that an ack at `max_age_ms` still has. It decreases linearly
+            between the two times.
+        group: The group of endpoints within which repeated deliveries are recognised.
+        window_ms: The deduplication window.
+        in_order: Whether events with the same ordering key must be sent one at a time and in order.
+        share: The share of the load, relative to the other stream types.
+    """
 
     name: str
     effect: Effect = Effect.IDEMPOTENT
@@ -95,7 +116,27 @@
 
 
 class Destination(StrictTable, frozen=True):
-    """`count` equal destinations, numbered from `number`; their endpoints are assigned to zones in turn."""
+    """`count` equal destinations, numbered from `number`. Their endpoints are assigned to the zones in turn.
+
+    Attributes:
+        number: The number of the first destination.
+        count: The number of destinations.
+        endpoints: Endpoints of each destination.
+        spares: Additional endpoints of each destination, which are listed only after a `join` step.
+        workers: Calls that an endpoint executes concurrently.
+        service_ms: The mean service time of one event.
+        service: The distribution of service times.
+        cv: The coefficient of variation of lognormal service times. Other distributions ignore it.
+        queue: Calls that can wait for a worker of an endpoint.
+        connections: Connections that an endpoint can hold open.
+        rate_per_s: The rate limit of the destination in calls per second. 0 means no limit.
+        listed: Whether the endpoint list contains the rate limit.
+        span_ms: The length of the rate limit's windows. 0 means that calls are paced instead.
+        burst: Calls that a paced rate limit admits at once.
+        refusals_use: Whether rejected calls count against the rate limit.
+        tells_wait: Whether the response to a rejected call has a Retry-After.
+        share: The share of the load, relative to the other destinations.
+    """
 
     number: Annotated[int, msgspec.Meta(ge=0, le=60000)]
     count: PositiveCount = 1
@@ -117,7 +158,20 @@
 
 
 class Load(StrictTable, frozen=True):
-    """The clients: open-loop arrivals or closed-loop clients, and how they resubmit."""
+    """The clients: open-loop arrivals or closed-loop clients, and how they resubmit.
+
+    Attributes:
+        kind: `open` for arrivals on a schedule, `closed` for clients that submit one event at a time.
+        rate_per_s: The arrival rate of an open loop.
+        clients: The number of clients of a closed loop.
+        body_bytes: The size of an event's body.
+        come_back: When clients resubmit an event that was not accepted or was rejected later: after the
+            Retry-After (`as_told`), without a delay (`at_once`), or `never`.
+        skew: The exponent of the Zipf distribution of events over destinations. 0 means uniform.
+        subjects: The number of ordering keys for each destination.
+        patience_ms: The time that a client waits for the response to a submission.
+        processes: The number of client processes.
+    """
 
     kind: Literal["open", "closed"] = "open"
     rate_per_s: PositiveFloat = 100.0
@@ -131,7 +185,19 @@
 
 
 class Fleet(StrictTable, frozen=True):
-    """The nodes and their limits."""
+    """The nodes and their limits, each for one node.
+
+    Attributes:
+        nodes: The number of nodes.
+        calls_out: The largest number of calls in flight.
+        room: The largest number of pending events.
+        memory_mb: The memory limit.
+        sockets: The limit on open sockets.
+        disk_mb: The disk space limit.
+        most_sends: The largest number of attempts for one event.
+        probes: Whether health checks are permitted.
+        batch: The largest number of events in one call.
+    """
 
     nodes: Annotated[int, msgspec.Meta(ge=1, le=64)] = 1
     calls_out: PositiveCount = 32
@@ -145,7 +211,20 @@
 
 
 class Rules(StrictTable, frozen=True):
-    """Parameters of the rules that the nodes are told of and judged by."""
+    """Parameters of the rules that nodes receive in their settings and that the referee judges by.
+
+    Attributes:
+        fall_multiple: The load that overloads a destination during its warm-up, as a multiple of its capacity
+            at that time.
+        fall_ms: The window over which that load is counted.
+        cold_from: The fraction of its capacity that a destination has at the start of its warm-up.
+        warm_up_ms: The duration of the warm-up.
+        grace_ms: The time for which calls may still be sent to an endpoint after discovery has announced that
+            it is draining or removed.
+        key_rest_ms: The pause of an ordering key after an attempt that may have run.
+        list_delay_ms: The mean delay with which a node's discovery server learns of changes. Nodes do not
+            receive it.
+    """
 
     fall_multiple: PositiveFloat = 2.0
     fall_ms: PositiveFloat = 2000.0
@@ -157,7 +236,18 @@
 
 
 class Step(StrictTable, frozen=True):
-    """One step of the timeline: a fault or a change, and whom it concerns."""
+    """One step of the timeline: a fault or another change.
+
+    Attributes:
+        at_ms: When the step is applied, in ms since the start of the load.
+        what: The kind of step: a value of `EndpointFault`, `NodeFault`, `DiscoveryFault` or `LoadChange`.
+        on: What the step applies to: `node:NUMBER` for a `NodeFault`, endpoints as described at
+            `Incident.targets` for an `EndpointFault`.
+        for_ms: The duration of the step. For `kill` and `restart`, the time until the node's next start.
+        share: The share of calls or connections that are affected.
+        wait_ms: If it is not 0, rejected calls get a Retry-After. The value is not used otherwise.
+        factor: The factor that service times, the rate limit or the arrival rate are multiplied by.
+    """
 
     at_ms: NonNegativeFloat
     what: str
@@ -172,11 +262,11 @@
     """An endpoint of an incident.
 
     Attributes:
-        name: Its name, `d<destination>-<index>`.
-        destination: The number of its destination.
-        settings: The table that declares it.
-        zone: Its zone.
-        is_spare: Whether it is listed only after a `join`.
+        name: The endpoint's name, `d<destination>-<index>`.
+        destination: The number of the endpoint's destination.
+        settings: The table that declares the destination.
+        zone: The endpoint's zone.
+        is_spare: Whether the endpoint is listed only after a `join` step.
     """
 
     name: str
@@ -187,7 +277,23 @@
 
 
 class Incident(StrictTable, frozen=True):
-    """The whole file."""
+    """The contents of an incident file.
+
+    Attributes:
+        format: The version of the file format.
+        title: A title of one line.
+        sees: What a reader of the report should see, as prose.
+        stream: The stream types.
+        destination: The destinations.
+        lasts_s: The duration of the load.
+        drain_s: The time after the load in which nodes finish the events that are still pending.
+        seed: The default random seed of a run.
+        halls: The names of the zones.
+        load: The clients.
+        fleet: The nodes.
+        rules: The parameters of the rules.
+        step: The steps of the timeline, in order of time.
+    """
 
     format: Literal[1]
     title: str
@@ -207,11 +313,11 @@
 
     @property
     def duration_s(self) -> float:
-        """Seconds from the start of the load to the end of the run."""
+        """The time from the start of the load to the end of the run, in seconds."""
         return self.lasts_s + self.drain_s
 
     def endpoints(self) -> Iterator[EndpointDeclaration]:
-        """Yield every endpoint in the order in which names are assigned."""
+        """Yield all endpoints, spares included, in the order in which their names are assigned."""
         for settings in self.destination:
             for number in range(settings.number, settings.number + settings.count):
                 for index in range(settings.endpoints + settings.spares):
@@ -224,11 +330,11 @@
                     )
 
     def targets(self, on: str) -> list[str]:
-        """Return the names of the endpoints that a step's `on` means.
+        """Return the names of the endpoints that a step applies to.
 
         Args:
-            on: `endpoint:NAME`, `dest:NUMBER`, `hall:ZONE`, `spares:NUMBER` or `all`. Spares belong to
-                `endpoint` and `spares` alone.
+            on: The step's `on`: `endpoint:NAME`, `dest:NUMBER`, `hall:ZONE`, `spares:NUMBER` or `all`. Only
+                `endpoint` and `spares` include spare endpoints.
         """
         kind, _, value = on.partition(":")
         return [endpoint.name for endpoint in self.endpoints() if _is_target(endpoint, on, kind, value)]
--- a/swiftthread/lab/load.py
+++ b/swiftthread/lab/load.py
@@ -1,8 +1,9 @@
-"""The load generator: clients that submit events, by schedule (open loop) or one at a time (closed loop).
+"""The load generator: clients that submit events on a schedule (open loop) or one at a time (closed loop).
 
-An open loop's arrivals do not wait for answers, and its latency counts from the scheduled moment: a node that
-stalls is not spared the events that would have come meanwhile. Several processes each take their part of one
-schedule.
+Open-loop clients submit each event at its scheduled time, whether or not earlier submissions have a response,
+and measure latency from the scheduled time. A node that stalls therefore still receives the events that
+arrive during the stall, and its latency includes the stall. Several client processes can share one schedule;
+each submits every n-th event of it.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from swiftthread.lab.arrivals import Event, EventSampler, schedule
+from swiftthread.lab.arrivals import Event, EventSampler, generate_arrivals
 from swiftthread.lab.background_tasks import BackgroundTasks
 from swiftthread.lab.control_channel import go_commands, open_stdin
 from swiftthread.lab.event_loop_lag import EventLoopLagMonitor
@@ -29,13 +30,20 @@
     monotonic_ms,
 )
 
-HISTOGRAM_MAX_US = 120_000_000  # of the histogram; nothing waits longer than a run
-HISTOGRAM_DIGITS = 3  # significant decimal digits it keeps
-DEFAULT_RETRY_AFTER_MS = 300.0  # ms that a client waits that heeds Retry-After and was given none
-MAX_RETRY_AFTER_MS = 3000.0  # ms of Retry-After that clients heed
-MAX_SUBMISSIONS = 6  # submissions of one event, the first counted in
-MIN_REMAINING_MS = 50.0  # ms before its max age after which an event is not submitted again
-SLEEP_THRESHOLD_MS = 1.0  # ms: a submission that is due sooner is made at once
+# Largest latency that the histogram can hold. No submission waits longer than a run, and runs are shorter.
+HISTOGRAM_MAX_US = 120_000_000
+# Significant decimal digits of the histogram's values.
+HISTOGRAM_DIGITS = 3
+# Time after which a client that honours Retry-After resubmits, if the response named none.
+DEFAULT_RETRY_AFTER_MS = 300.0
+# Longest Retry-After that clients honour.
+MAX_RETRY_AFTER_MS = 3000.0
+# Largest number of submissions of one event, including the first.
+MAX_SUBMISSIONS = 6
+# Smallest time before its max age at which an event is still resubmitted.
+MIN_REMAINING_MS = 50.0
+# A submission that is due within this time is made without a sleep.
+SLEEP_THRESHOLD_MS = 1.0
 
 BODY_ALPHABET = b"abcdefghijklmnopqrstuvwxyz "
 FEED_REQUEST = b"GET /feed HTTP/1.1\r\nHost: lab\r\n\r\n"
@@ -43,12 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmissionReply:
-    """What became of a submission.
+    """The node's response to a submission, or the failure of the submission.
 
     Attributes:
-        status: The status of the answer, or `NO_STATUS`.
-        retry_after_ms: Its Retry-After; 0 for none.
-        is_connection_broken: Whether the connection closed after the request was written.
+        status: The HTTP status of the response, or `NO_STATUS` if there was none.
+        retry_after_ms: The Retry-After of the response. 0 if there was none.
+        is_connection_broken: Whether the connection closed without a response after the request was written.
     """
 
     status: int
@@ -57,42 +65,43 @@
 
 
 class LoadGenerator:
-    """All clients of one process; owner of their connections.
+    """All clients of one client process, and the owner of their connections.
 
     Args:
-        incident: What load there is.
-        seed: Of all chance.
-        part: Which of the processes this is, from 0 on.
-        parts: How many processes there are.
-        nodes: A connection pool for each node.
-        record_writer: Where submissions and answers are recorded.
+        incident: The incident whose load is generated.
+        seed: The random seed of the run.
+        process_index: The index of this client process, starting at 0.
+        process_count: The number of client processes in the run.
+        node_pools: A connection pool for each node.
+        record_writer: Receives records of submissions and responses.
     """
 
     def __init__(
         self,
         incident: Incident,
         seed: int,
-        part: int,
-        parts: int,
-        nodes: Sequence[ConnectionPool],
+        process_index: int,
+        process_count: int,
+        node_pools: Sequence[ConnectionPool],
         record_writer: RecordWriter,
     ) -> None:
         self._incident = incident
         self._load = incident.load
         self._seed = seed
-        self._part = part
-        self._parts = parts
-        self._nodes = nodes
+        self._process_index = process_index
+        self._process_count = process_count
+        self._node_pools = node_pools
         self._record_writer = record_writer
-        self._process = f"load {part}"
-        self._rng = random.Random(f"clients {seed} {part}")
+        self._process = f"load {process_index}"
+        self._rng = random.Random(f"clients {seed} {process_index}")
         self._body = bytes(self._rng.choices(BODY_ALPHABET, k=self._load.body_bytes))
-        self._accepted: dict[str, Event] = {}  # by submission's id, until their max age
+        # Accepted events by the event id of the submission, until their max age.
+        self._accepted: dict[str, Event] = {}
         self._tasks = BackgroundTasks()
         self._histogram = HdrHistogram(1, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS)
 
     def start(self, started_at: float, feed_address: str) -> None:
-        """Let the clients submit from this moment on, in ms, until the incident's end."""
+        """Start the clients, which submit events from `started_at` (ms) for `lasts_s` of the incident."""
         self._tasks.spawn(self._run(started_at, feed_address))
 
     async def _run(self, started_at: float, feed_address: str) -> None:
@@ -101,54 +110,54 @@
         if self._load.kind == "open":
             await self._run_open_loop(started_at)
             return
-        numbers = range(self._part, self._load.clients, self._parts)
-        await asyncio.gather(*[self._run_closed_loop(started_at, number) for number in numbers])
+        client_numbers = range(self._process_index, self._load.clients, self._process_count)
+        await asyncio.gather(*[self._run_closed_loop(started_at, number) for number in client_numbers])
 
     async def _run_open_loop(self, started_at: float) -> None:
-        arrivals = schedule(self._incident, self._seed)
-        for at, event in arrivals[self._part :: self._parts]:
-            event.scheduled_at = started_at + at
+        arrivals = generate_arrivals(self._incident, self._seed)
+        for arrives_at, event in arrivals[self._process_index :: self._process_count]:
+            event.scheduled_at = started_at + arrives_at
             delay_ms = event.scheduled_at - monotonic_ms()
             if delay_ms > SLEEP_THRESHOLD_MS:
                 await asyncio.sleep(delay_ms / 1000.0)
             self._tasks.spawn(self._submit(event))
 
-    async def _run_closed_loop(self, started_at: float, number: int) -> None:
-        sampler = EventSampler(self._incident, random.Random(f"client {self._seed} {number}"))
+    async def _run_closed_loop(self, started_at: float, client_number: int) -> None:
+        sampler = EventSampler(self._incident, random.Random(f"client {self._seed} {client_number}"))
         event_numbers = count()
         ends_at = started_at + 1000.0 * self._incident.lasts_s
         await asyncio.sleep(max(0.0, started_at - monotonic_ms()) / 1000.0)
         while monotonic_ms() < ends_at:
-            original_id = f"e{self._seed}-c{number}-{next(event_numbers)}"
+            original_id = f"e{self._seed}-c{client_number}-{next(event_numbers)}"
             await self._submit(sampler.draw(original_id, monotonic_ms()))
 
     async def _submit(self, event: Event) -> None:
-        """Submit an event once, and do what follows from the answer."""
+        """Submit an event to a random node and record the response. Resubmit it if it was not accepted."""
         event_id = event.original_id if not event.attempts else f"{event.original_id}.{event.attempts}"
         event.attempts += 1
-        node = self._rng.randrange(len(self._nodes))
+        node_number = self._rng.randrange(len(self._node_pools))
         started_at = monotonic_ms()
-        latency_from = event.scheduled_at if event.attempts == 1 else started_at
-        self._record_submission(event, event_id, node, started_at)
-        reply = await self._request(self._nodes[node], event_id, event)
+        latency_started_at = event.scheduled_at if event.attempts == 1 else started_at
+        self._record_submission(event, event_id, node_number, started_at)
+        reply = await self._request(self._node_pools[node_number], event_id, event)
         now = monotonic_ms()
         self._record_writer.write(
             ClientAnswered(now, event_id, reply.status, reply.retry_after_ms, reply.is_connection_broken)
         )
-        self._histogram.record_value(int(1000.0 * max(0.0, now - latency_from)) or 1)
+        self._histogram.record_value(int(1000.0 * max(0.0, now - latency_started_at)) or 1)
         if reply.status == 202:
             self._accepted[event_id] = event
         else:
-            # Without an answer the node may have accepted it: a client submits it again all the same.
+            # Without a response the node may have accepted the event. Clients resubmit it nevertheless.
             self._resubmit(event, reply.retry_after_ms)
 
-    def _record_submission(self, event: Event, event_id: str, node: int, started_at: float) -> None:
+    def _record_submission(self, event: Event, event_id: str, node_number: int, started_at: float) -> None:
         self._record_writer.write(
             EventSubmitted(
                 started_at,
                 event_id,
                 event.original_id,
-                f"n{node}",
+                f"n{node_number}",
                 event.stream.name,
                 event.destination,
                 event.key,
@@ -159,7 +168,7 @@
         )
 
     def _resubmit(self, event: Event, retry_after_ms: float) -> None:
-        """Submit an event again after a wait, if its client does that and there is time left."""
+        """Schedule a resubmission, unless the load or `MAX_SUBMISSIONS` forbids it or max age is too near."""
         if self._load.come_back == "never" or event.attempts >= MAX_SUBMISSIONS:
             return
         wait_ms = 0.0
@@ -172,11 +181,11 @@
         await asyncio.sleep(wait_ms / 1000.0)
         await self._submit(event)
 
-    async def _request(self, node: ConnectionPool, event_id: str, event: Event) -> SubmissionReply:
-        """Submit an event to a node within the client's patience."""
+    async def _request(self, pool: ConnectionPool, event_id: str, event: Event) -> SubmissionReply:
+        """Submit an event to a node and wait up to `patience_ms` for the response."""
         try:
             async with asyncio.timeout(self._load.patience_ms / 1000.0):
-                reply = await self._exchange(node, event_id, event)
+                reply = await self._exchange(pool, event_id, event)
         except (TimeoutError, OSError):
             return SubmissionReply(NO_STATUS)
         if not reply.is_response():
@@ -187,16 +196,16 @@
             retry_after_ms = 0.0
         return SubmissionReply(reply.status, retry_after_ms)
 
-    async def _exchange(self, node: ConnectionPool, event_id: str, event: Event) -> HttpReply:
-        connection = await node.acquire()
+    async def _exchange(self, pool: ConnectionPool, event_id: str, event: Event) -> HttpReply:
+        connection = await pool.acquire()
         try:
             reply = await connection.request(self._encode_request(event_id, event))
         except asyncio.CancelledError:
             connection.abort()
             raise
         if not reply.is_response() and connection.has_been_used:
-            # The node closed it between two requests, as ours was on its way: repeat on a new connection.
-            connection = await node.connect()
+            # The node closed the idle connection while the request was sent: repeat it on a new connection.
+            connection = await pool.connect()
             reply = await connection.request(self._encode_request(event_id, event))
         connection.has_been_used = True
         return reply
@@ -219,7 +228,7 @@
         return head.encode() + self._body
 
     async def _follow_feed(self, address: str) -> None:
-        """Submit again what nodes handed back."""
+        """Resubmit the accepted events that nodes reject later, as the notification feed reports them."""
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         with closing(writer):
@@ -231,7 +240,7 @@
                     self._resubmit(event, retry_after_ms)
 
     async def _watch_lag(self) -> None:
-        """Record the event loop's lag, and forget expired events now and then."""
+        """Record the lag of the event loop, and remove expired events whenever a lag record is written."""
         lag_monitor = EventLoopLagMonitor(self._process, self._record_writer)
         while True:
             if await lag_monitor.check():
@@ -241,34 +250,39 @@
                 }
 
     def close(self) -> None:
-        """Cancel all clients, abort idle connections and record the latency histogram."""
+        """Cancel all clients, abort idle connections, and record the latency histogram."""
         self._tasks.cancel()
-        for node in self._nodes:
-            node.abort()
+        for pool in self._node_pools:
+            pool.abort()
         encoded = self._histogram.encode().decode()
         self._record_writer.write(LatencyHistogramRecorded(monotonic_ms(), self._process, encoded))
 
 
-async def serve(incident: Incident, seed: int, part: int, parts: int, path: str) -> None:
-    """Run the clients of one process until `stop` is read from standard input.
+async def serve(
+    incident: Incident, seed: int, process_index: int, process_count: int, records_path: str
+) -> None:
+    """Run the clients of one client process until `stop` is read from standard input.
 
-    Prints `ready`, then starts them at a `go MOMENT FEED_ADDRESS NODE_ADDRESS,...`.
+    Prints `ready`, then waits for the command `go START_TIME FEED_ADDRESS NODE_ADDRESS,...` and starts the
+    clients at that time (ms on the monotonic clock).
 
     Args:
-        incident: What load there is.
-        seed: Of all chance.
-        part: Which of the processes this is, from 0 on.
-        parts: How many processes there are.
-        path: The file for records.
+        incident: The incident whose load is generated.
+        seed: The random seed of the run.
+        process_index: The index of this client process, starting at 0.
+        process_count: The number of client processes in the run.
+        records_path: The file to which records are written.
     """
-    with closing(RecordWriter(path)) as record_writer:
+    with closing(RecordWriter(records_path)) as record_writer:
         stdin = await open_stdin()
         generator: LoadGenerator | None = None
         try:
             print("ready", flush=True)
             async for started_at, feed_address, node_addresses in go_commands(stdin):
-                nodes = [_connection_pool(address) for address in node_addresses.split(",")]
-                generator = LoadGenerator(incident, seed, part, parts, nodes, record_writer)
+                node_pools = [_connection_pool(address) for address in node_addresses.split(",")]
+                generator = LoadGenerator(
+                    incident, seed, process_index, process_count, node_pools, record_writer
+                )
                 generator.start(float(started_at), feed_address)
         finally:
             if generator is not None:
--- a/swiftthread/lab/node_configuration.py
+++ b/swiftthread/lab/node_configuration.py
@@ -1,4 +1,4 @@
-"""The part of a node's start object that the baselines and the floor program read."""
+"""The part of a node's configuration that the baselines and the floor program use."""
 
 import json
 import os
@@ -7,17 +7,18 @@
 
 from swiftthread.lab.outcomes import EndpointState
 
-CONFIGURATION_VARIABLE = "LB_CONFIG"  # the environment variable that names the file
+# The environment variable that holds the path of the configuration file.
+CONFIGURATION_VARIABLE = "LB_CONFIG"
 
 
 @dataclass(frozen=True, slots=True)
 class StreamProfile:
-    """A stream type, as far as it decides about retries.
+    """The properties of a stream type that determine whether an event may be retried.
 
     Attributes:
-        effect: What a repeated execution does: retryable, dedup or fragile.
-        group: Over which endpoints duplicates are recognized: all, or those of a zone.
-        window_ms: For how long they are.
+        effect: The effect of a repeated delivery: retryable, dedup or fragile.
+        group: The group of endpoints within which duplicates are recognised: all, or those of a zone.
+        window_ms: The deduplication window.
     """
 
     effect: str
@@ -39,17 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfiguration:
-    """What a node is told at its start.
+    """The configuration with which a node is started.
 
     Attributes:
-        listen: Where it listens, as host:port.
-        discovery: The address of its discovery server.
-        state_folder: Where it may keep files.
-        seed: Of all its chance.
-        endpoints: The endpoint list at first.
-        profiles: All stream types by name.
-        max_attempts: Attempts that one event may take.
-        max_pending: Events that it may hold.
+        listen: The address on which the node listens, as host:port.
+        discovery: The address of the node's discovery server, as host:port.
+        state_folder: The folder in which the node may store files.
+        seed: The random seed.
+        endpoints: The initial endpoint list.
+        profiles: The stream types by name.
+        max_attempts: The largest number of attempts for one event.
+        max_pending: The largest number of pending events.
     """
 
     listen: str
@@ -63,28 +64,28 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of a host:port."""
+    """Split an address in the form host:port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def parse_endpoint_list(endpoint_list: dict[str, Any]) -> list[ListedEndpoint]:
-    """Return the entries of a full endpoint list as discovery sends it."""
+    """Return the entries of a list document that holds the whole endpoint list."""
     endpoints = []
-    for row in endpoint_list["servers"]:
-        host, port = split_address(row["addr"])
-        state = EndpointState(row["state"])
-        endpoints.append(ListedEndpoint(row["id"], row["cell"], row["zone"], host, port, state))
+    for entry in endpoint_list["servers"]:
+        host, port = split_address(entry["addr"])
+        state = EndpointState(entry["state"])
+        endpoints.append(ListedEndpoint(entry["id"], entry["cell"], entry["zone"], host, port, state))
     return endpoints
 
 
 def read_configuration() -> NodeConfiguration:
-    """Return the configuration that the environment names.
+    """Read the configuration file that the environment variable `LB_CONFIG` names.
 
     Raises:
-        KeyError: The environment names none, or it lacks a field.
-        OSError: It cannot be read.
-        json.JSONDecodeError: It is no JSON.
+        KeyError: The environment variable is not set, or the file lacks a key.
+        OSError: The file cannot be read.
+        json.JSONDecodeError: The file is not JSON.
     """
     with open(os.environ[CONFIGURATION_VARIABLE], encoding="utf-8") as source:
         fields = json.load(source)
@@ -95,11 +96,11 @@
         state_folder=fields["state"],
         seed=fields["seed"],
         endpoints=parse_endpoint_list(fields["known"]),
-        profiles={row["Name"]: _parse_profile(row) for row in settings["Profiles"]},
+        profiles={profile["Name"]: _parse_profile(profile) for profile in settings["Profiles"]},
         max_attempts=settings["Permissions"]["TryLimit"],
         max_pending=settings["Permissions"]["MaxOpen"],
     )
 
 
-def _parse_profile(row: dict[str, Any]) -> StreamProfile:
-    return StreamProfile(row["Effect"], row["Group"], 1000.0 * row.get("Window", 0.0))
+def _parse_profile(profile: dict[str, Any]) -> StreamProfile:
+    return StreamProfile(profile["Effect"], profile["Group"], 1000.0 * profile.get("Window", 0.0))
--- a/swiftthread/lab/node_settings.py
+++ b/swiftthread/lab/node_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a node of an incident's fleet is started with, under the platform's names."""
+"""Converts an incident into the settings that its nodes are started with, under the platform's key names."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def settings_for(incident: Incident, position: int) -> dict[str, Any]:
-    """Return the start object's settings for the node at `position` in the fleet."""
+    """Return the settings in the configuration of the node at `position` in the fleet."""
     fleet = incident.fleet
     is_rate_listed = any(
         destination.rate_per_s and destination.listed for destination in incident.destination
--- a/swiftthread/lab/run_records.py
+++ b/swiftthread/lab/run_records.py
@@ -1,6 +1,7 @@
-"""What happened in a run, as records that the emulator and the clients write and the referee reads.
+"""Records of what happens in a run, written by the emulator, the clients and the runner for the referee.
 
-A record is one JSON line. Moments are ms of the machine's monotonic clock, one for all processes of a run.
+A record is one line of JSON. Times are in ms on the machine's monotonic clock, which all processes of a run
+share.
 """
 
 import time
@@ -10,16 +11,21 @@
 
 from swiftthread.lab.outcomes import CallOutcome, DestinationChange, EndpointState
 
-FLUSH_THRESHOLD_BYTES = 1 << 18  # bytes that a writer keeps before it writes them: what a crash may lose
+# Size of a writer's buffer above which it is flushed. A crash can lose up to this much.
+FLUSH_THRESHOLD_BYTES = 1 << 18
 
 
 def monotonic_ms() -> float:
-    """Return the present moment on that clock."""
+    """Return the current time in ms on the machine's monotonic clock."""
     return time.monotonic() * 1000.0
 
 
 class RunRecord(msgspec.Struct, tag_field="row"):
-    """What all records have: the moment at which it happened."""
+    """The base class of all records.
+
+    Attributes:
+        at: The time of the recorded occurrence.
+    """
 
     at: float
 
@@ -27,7 +33,16 @@
 class EventSubmitted(RunRecord, tag="event_submitted"):
     """A client began to submit an event.
 
-    `original_id`: the id of its first submission; `scheduled_at`: its scheduled moment.
+    Attributes:
+        event_id: The event id of this submission.
+        original_id: The event id of the event's first submission.
+        node: The name of the node.
+        stream: The name of the stream type.
+        destination: The destination's number.
+        key: The idempotency key. Empty if there is none.
+        subject: The ordering key. Empty if there is none.
+        expires_at: The time at which the event reaches its max age.
+        scheduled_at: The time at which the first submission was scheduled.
     """
 
     event_id: str
@@ -42,9 +57,13 @@
 
 
 class ClientAnswered(RunRecord, tag="client_answered"):
-    """The client's answer.
+    """A client received the response to a submission, or stopped waiting for it.
 
-    Status 0: none in time, or a connection that broke (`is_connection_broken`: after its last byte).
+    Attributes:
+        event_id: The event id of the submission.
+        status: The HTTP status. 0 if there was no response in time or the connection failed.
+        retry_after_ms: The Retry-After of the response. 0 if there was none.
+        is_connection_broken: Whether the connection closed after the last byte of the request was written.
     """
 
     event_id: str
@@ -54,7 +73,16 @@
 
 
 class CallReceived(RunRecord, tag="call_received"):
-    """A call's last byte came. `first_byte_at`: when its first byte came."""
+    """An endpoint received the last byte of a call.
+
+    Attributes:
+        call: The emulator's number for the call.
+        event_ids: The ids of the events in the call.
+        endpoint: The endpoint's name.
+        destination: The destination's number.
+        zone: The endpoint's zone.
+        first_byte_at: The time at which the first byte of the call was received.
+    """
 
     call: int
     event_ids: list[str]
@@ -65,7 +93,7 @@
 
 
 class ReplySent(RunRecord, tag="reply_sent"):
-    """What was answered to a call."""
+    """An endpoint responded to a call."""
 
     call: int
     outcome: CallOutcome
@@ -73,20 +101,20 @@
 
 
 class CallerDisconnected(RunRecord, tag="caller_disconnected"):
-    """The caller closed before an answer was written."""
+    """The caller closed the connection of a call before a response was written."""
 
     call: int
 
 
 class HealthCheckReceived(RunRecord, tag="health_check_received"):
-    """A health check arrived at an endpoint."""
+    """An endpoint received a health check."""
 
     endpoint: str
     destination: int
 
 
 class EndpointStateAnnounced(RunRecord, tag="endpoint_state_announced"):
-    """A node's endpoint list now gives this state for an endpoint."""
+    """Discovery announced the state of an endpoint to a node."""
 
     node: str
     endpoint: str
@@ -94,7 +122,7 @@
 
 
 class NotificationReceived(RunRecord, tag="notification_received"):
-    """A node notified the platform of an event's outcome, in its own word (see `EventOutcome`)."""
+    """A node notified the platform of an event's outcome, which is stored as sent (see `EventOutcome`)."""
 
     node: str
     event_id: str
@@ -103,7 +131,7 @@
 
 
 class DestinationChanged(RunRecord, tag="destination_changed"):
-    """A destination went down, recovered or was overloaded. `capacity`: calls per ms when warm."""
+    """A destination went down, recovered or was overloaded. `capacity` is in calls per ms after warm-up."""
 
     destination: int
     change: DestinationChange
@@ -111,14 +139,14 @@
 
 
 class NodeLifecycleChanged(RunRecord, tag="node_lifecycle_changed"):
-    """A node was killed, asked to stop, ready or at its end."""
+    """A node became ready, was asked to stop or was killed. `state` is a value of `NodeState`."""
 
     node: str
     state: str
 
 
 class ProcessSampled(RunRecord, tag="process_sampled"):
-    """Of a node's process: CPU spent so far (ms) and resident memory (MiB)."""
+    """The resources used by a node: CPU time over all its processes, resident memory and open descriptors."""
 
     node: str
     cpu_ms: float
@@ -127,14 +155,14 @@
 
 
 class EventLoopLagged(RunRecord, tag="event_loop_lagged"):
-    """The longest that a loop of the laboratory itself came late since its last such row."""
+    """The largest lag of a laboratory process's event loop since its previous record of this kind."""
 
     process: str
     lag_ms: float
 
 
 class LatencyHistogramRecorded(RunRecord, tag="latency_histogram_recorded"):
-    """An HDR histogram, encoded: submission latency in microseconds, from the scheduled moment."""
+    """An encoded HDR histogram of submission latency in microseconds, measured from the scheduled time."""
 
     process: str
     encoded: str
@@ -160,39 +188,39 @@
 
 
 class RecordWriter:
-    """Writer of one file of records.
+    """Writes records to one file.
 
-    It writes large pieces; a crash loses the last one at most.
+    Records are buffered and written in large pieces. A crash loses at most the last piece.
     """
 
     def __init__(self, path: str | Path) -> None:
-        self._file = open(path, "wb")  # noqa: SIM115  # open as long as the writer
+        self._file = open(path, "wb")  # noqa: SIM115  # closed by close()
         self._pending = bytearray()
 
     def write(self, record: RunRecord) -> None:
-        """Add a record."""
+        """Add a record to the buffer, and flush it if it is large."""
         self._pending += _encoder.encode(record)
         self._pending += b"\n"
         if len(self._pending) > FLUSH_THRESHOLD_BYTES:
             self.flush()
 
     def flush(self) -> None:
-        """Write all records added so far to the file."""
+        """Write all buffered records to the file."""
         self._file.write(self._pending)
         self._file.flush()
         self._pending.clear()
 
     def close(self) -> None:
-        """Flush, and close the file."""
+        """Flush the buffer and close the file."""
         self.flush()
         self._file.close()
 
 
 def read_records(*paths: str | Path) -> list[AnyRecord]:
-    """Return all records of these files in the order of their moments; a line cut short is left out.
+    """Return all records of these files in order of time. A truncated line is ignored.
 
     Raises:
-        msgspec.ValidationError: A line is no record.
+        msgspec.ValidationError: A line is not a record.
     """
     records: list[AnyRecord] = []
     for path in paths:
--- a/swiftthread/lab/runner/__init__.py
+++ b/swiftthread/lab/runner/__init__.py
@@ -1,4 +1,4 @@
-"""Runs an incident: starts all processes, plays its timeline, and writes the verdict of the referee."""
+"""Runs an incident: starts its processes, applies the steps of its timeline, and stores the verdict."""
 
 from swiftthread.lab.runner.nodes import COMMAND_PREFIX, NodeKind
 from swiftthread.lab.runner.result import ReportedBreach, RunResult
--- a/swiftthread/lab/runner/nodes.py
+++ b/swiftthread/lab/runner/nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of a run: their configuration, their process and its restarts."""
+"""Node processes of a run: their configuration, start, restarts and stop."""
 
 import json
 import os
@@ -21,23 +21,24 @@
 from swiftthread.lab.run_records import AnyRecord, NodeLifecycleChanged, ProcessSampled, monotonic_ms
 from swiftthread.lab.runner.processes import POLL_INTERVAL_S, READY_TIMEOUT_S, ManagedProcess
 
-# Time from SIGTERM to SIGKILL, in s; the platform's.
+# Time between SIGTERM and SIGKILL. The platform allows a node the same time.
 STOP_TIMEOUT_S = 3.7
-# Time from a node's end to its next start unless the step gives one, in ms.
+# Time between a node's exit and its restart, if the step gives no `for_ms`.
 RESTART_DELAY_MS = 600.0
-# Time for a response to a health check, in s.
+# Timeout for the response to a health check.
 HEALTH_CHECK_TIMEOUT_S = 0.5
-# Random seed of the node 0 of a run with seed 0.
+# Random seed of node 0 in a run with seed 0.
 NODE_SEED_BASE = 0x5EED0000
-# Distance between the random seeds of two runs; more than there are nodes.
+# Distance between the node seeds of runs with consecutive seeds. It exceeds the number of nodes in a run, so
+# that no two nodes have the same seed.
 NODE_SEEDS_PER_RUN = 1000
-# Prefix of a node that is an arbitrary command.
+# Prefix that marks a node as an arbitrary command.
 COMMAND_PREFIX = "exec:"
 BYTES_PER_MIB = 2**20
 
 
 class NodeKind(StrEnum):
-    """Programs that can run as a node, beside arbitrary commands."""
+    """Programs that can run as a node. Arbitrary commands can run as well, see `COMMAND_PREFIX`."""
 
     SWIFTTHREAD = "swiftthread"
     ONCE = "once"
@@ -46,11 +47,11 @@
     FLOOR = "floor"
 
 
-def command_for(node: str) -> list[str]:
-    """Return the command line of a node.
+def node_command(node: str) -> list[str]:
+    """Return the command line that starts a node.
 
     Args:
-        node: A `NodeKind`, or `exec:` and a command.
+        node: A `NodeKind`, or `exec:` followed by a command.
     """
     if node.startswith(COMMAND_PREFIX):
         return shlex.split(node.removeprefix(COMMAND_PREFIX))
@@ -60,12 +61,12 @@
 
 
 class EmulatorAddresses(msgspec.Struct):
-    """Where the emulator listens, as it prints it.
+    """The addresses on which the emulator listens, as it prints them on standard output.
 
     Attributes:
-        discovery: The address of discovery for each node.
-        known: The endpoint list that nodes are configured with.
-        feed: The address from which clients follow notifications.
+        discovery: The address of each node's discovery server, by node number.
+        known: The initial endpoint list in the nodes' configuration.
+        feed: The address of the notification feed for clients.
     """
 
     discovery: list[str]
@@ -74,7 +75,7 @@
 
 
 class NodeHost(Protocol):
-    """What a node needs of the run it belongs to."""
+    """The part of `Run` that its node processes use."""
 
     incident: Incident
     seed: int
@@ -83,20 +84,20 @@
     folder: Path
 
     def record(self, record: AnyRecord) -> None:
-        """Append a record to those of the run."""
+        """Append a record to the run's records."""
 
     def cores_for(self, number: int) -> list[int]:
-        """Return the cores that the node of this number is pinned to; empty for all."""
+        """Return the cores that the node with this number is pinned to. An empty list means all cores."""
 
 
 class NodeProcess:
-    """One node of a run over all its restarts.
+    """One node of a run, across all its restarts.
 
     Attributes:
-        name: `n` and its number.
-        address: Where it listens.
-        process: Its present process; None before the first start.
-        cpu_ms: CPU time of its earlier processes, in ms.
+        name: `n` followed by the node's number.
+        address: The address on which the node listens.
+        process: The node's current process. None before the first start.
+        cpu_ms: CPU time of the node's previous processes, and of the current one once it is being stopped.
     """
 
     def __init__(self, run: NodeHost, number: int, addresses: EmulatorAddresses) -> None:
@@ -114,7 +115,7 @@
         self.configuration_path.write_text(json.dumps(self._configuration(addresses, state_folder)))
 
     def _configuration(self, addresses: EmulatorAddresses, state_folder: Path) -> dict[str, Any]:
-        """Return the node's start object."""
+        """Return the node's configuration as a JSON object."""
         fleet = self.run.incident.fleet
         seed = NODE_SEED_BASE + NODE_SEEDS_PER_RUN * self.run.seed + self.number
         return {
@@ -134,21 +135,21 @@
         }
 
     def listen_address(self) -> str:
-        """Return its address as `host:port`."""
+        """Return the node's address as `host:port`."""
         host, port = self.address
         return f"{host}:{port}"
 
     async def start(self) -> None:
-        """Start its process and wait until it is healthy.
+        """Start the node's process and wait until it passes a health check.
 
         Raises:
-            ProcessError: It ended, or was not healthy in time.
+            ProcessError: The process exited, or did not pass a health check within `READY_TIMEOUT_S`.
         """
         environment = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
         environment |= {"LB_CONFIG": str(self.configuration_path), "PYTHONPATH": str(self.run.tree)}
         process = ManagedProcess(
             self.name,
-            command_for(self.run.node),
+            node_command(self.run.node),
             self.run.folder,
             environment=environment,
             cores=self.run.cores_for(self.number),
@@ -162,15 +163,15 @@
             return
         raise ProcessError(
             self.name,
-            f"node {self.name} is not ready after {READY_TIMEOUT_S:.0f} s: {process.last_log_line()}",
+            f"node {self.name} not ready after {READY_TIMEOUT_S:.0f} s: {process.last_log_line()}",
         )
 
     async def _wait_until_healthy(self, process: ManagedProcess) -> None:
         while not self._is_healthy():
-            if process.has_ended():
+            if process.has_exited():
                 raise ProcessError(
                     self.name,
-                    f"node {self.name} ended with {process.popen.returncode}: {process.last_log_line()}",
+                    f"node {self.name} exited with {process.popen.returncode}: {process.last_log_line()}",
                 )
             await anyio.sleep(POLL_INTERVAL_S)
 
@@ -182,7 +183,7 @@
         except OSError:
             return False
 
-    def _running_process(self) -> ManagedProcess:
+    def _current_process(self) -> ManagedProcess:
         assert self.process is not None, f"{self.name} was not started"
         return self.process
 
@@ -190,14 +191,14 @@
         self.run.record(NodeLifecycleChanged(monotonic_ms(), self.name, state))
 
     def sample(self) -> float:
-        """Record its CPU time and memory; return the CPU time of its present process, in ms."""
+        """Record the node's CPU time and memory, and return the CPU time of its current process in ms."""
         assert self.process_info is not None, f"{self.name} was not started"
         try:
             cpu_times = self.process_info.cpu_times()
             rss_bytes = self.process_info.memory_info().rss
             open_descriptors = self.process_info.num_fds()
         except psutil.Error:
-            # It is between two processes.
+            # The process has exited, and the node has not been restarted yet.
             return 0.0
         cpu_ms = 1000.0 * (cpu_times.user + cpu_times.system)
         total_cpu_ms = self.cpu_ms + cpu_ms
@@ -206,32 +207,32 @@
         return cpu_ms
 
     async def apply(self, step: Step) -> None:
-        """Apply a step of the incident to the node, and undo it when its time is over."""
+        """Apply a step of the incident to the node: freeze and resume it, or stop and restart it."""
         if step.what == NodeFault.FREEZE:
             await self._freeze(step.for_ms)
             return
-        self.keep_cpu_time()
+        self.accumulate_cpu_time()
         if step.what == NodeFault.KILL:
             self._record_state(NodeState.KILLED)
-            self._running_process().kill()
+            self._current_process().kill()
         else:
             await self.stop()
         await anyio.sleep((step.for_ms or RESTART_DELAY_MS) / 1000.0)
         await self.start()
 
     async def _freeze(self, duration_ms: float) -> None:
-        pid = self._running_process().popen.pid
+        pid = self._current_process().popen.pid
         os.kill(pid, signal.SIGSTOP)
         await anyio.sleep(duration_ms / 1000.0)
         os.kill(pid, signal.SIGCONT)
 
-    def keep_cpu_time(self) -> None:
-        """Add the CPU time of its present process to `cpu_ms`, before that ends."""
+    def accumulate_cpu_time(self) -> None:
+        """Add the CPU time of the current process to `cpu_ms`; to be called before the process is stopped."""
         self.cpu_ms += self.sample()
 
     async def stop(self) -> int | None:
-        """Ask it to stop; return its exit code, None when it had to be killed."""
+        """Send SIGTERM to the node and return its exit code, or None if it had to be killed."""
         self._record_state(NodeState.STOPPING)
-        process = self._running_process()
+        process = self._current_process()
         process.popen.terminate()
         return await process.wait_for_exit(STOP_TIMEOUT_S)
--- a/swiftthread/lab/runner/result.py
+++ b/swiftthread/lab/runner/result.py
@@ -1,4 +1,7 @@
-"""The result of a run, as stored in `result.json`. The keys of that file are fixed."""
+"""The result of a run, as stored in `result.json`.
+
+The keys of that file must not change, so that the results of earlier runs can still be read.
+"""
 
 import json
 from collections.abc import Iterable, Mapping, Sequence
@@ -13,19 +16,19 @@
 from swiftthread.lab.load import HISTOGRAM_DIGITS, HISTOGRAM_MAX_US
 from swiftthread.lab.run_records import AnyRecord, EventLoopLagged, LatencyHistogramRecorded, ProcessSampled
 
-# A run is void if an event loop of the laboratory lagged by more than this (ms): its figures are then the
-# laboratory's own and not the node's.
+# Largest event loop lag of a laboratory process in a valid run. Above it the run is void, because its figures
+# measure the laboratory instead of the node.
 MAX_LAG_MS = 60.0
 RESULT_FILE = "result.json"
 
 
 class ReportedBreach(msgspec.Struct):
-    """A breach of a rule.
+    """A breach of a rule by a node, as stored in the result.
 
     Attributes:
-        rule: The rule's name.
-        at_ms: When it was broken, in ms since the start of the load.
-        text: What was observed.
+        rule: The rule that was broken.
+        at_ms: The time of the breach in ms since the start of the load.
+        text: A description of the observed breach.
     """
 
     rule: referee.Rule
@@ -38,7 +41,7 @@
 
 
 class SubmissionLatency(msgspec.Struct):
-    """Percentiles of the time from an event's scheduled submission to its answer, in ms."""
+    """Percentiles in ms of the time between the scheduled submission of an event and the node's response."""
 
     p50: float
     p90: float
@@ -52,19 +55,19 @@
     Attributes:
         incident_title: The title of the incident.
         seed: The random seed.
-        node: What ran as the nodes.
-        measure: The service measure.
-        breaches: The broken rules, in order of time.
-        counts: Numbers of events, submissions, calls and notifications by name.
-        submission_latency_ms: Submission latency.
+        node: The program that ran as each node: a `NodeKind`, or `exec:` followed by a command.
+        measure: The service measure of the run, see `referee.measure_service`.
+        breaches: The breaches of rules, in order of time.
+        counts: Numbers of events, submissions, calls and notifications, by count name.
+        submission_latency_ms: Percentiles of the submission latency.
         cpu_ms: CPU time of all nodes.
-        cpu_ms_per_acked: The same for each acked event.
-        rss_mib: The largest resident memory of a node.
-        open_descriptors: The largest number of open file descriptors of a node.
-        lag_ms: The largest lag of each event loop of the laboratory.
-        void: Why the run is void; empty when it is not.
-        exit_codes: The exit code of each node; None for one that had to be killed.
-        started_at_ms: The start of the load on the monotonic clock.
+        cpu_ms_per_acked: CPU time of all nodes, divided by the number of acked events.
+        rss_mib: The largest resident memory of any node.
+        open_descriptors: The largest number of open file descriptors of any node.
+        lag_ms: The largest event loop lag of each laboratory process, by process name.
+        void: The reason why the run is void. Empty for a valid run.
+        exit_codes: The exit code of each node by its name. None if the node had to be killed.
+        started_at_ms: The time on the monotonic clock at which the load started.
     """
 
     incident_title: str = msgspec.field(name="script")
@@ -85,11 +88,11 @@
 
     @classmethod
     def read(cls, folder: Path) -> Self:
-        """Return the result in a run's folder."""
+        """Read the result from a run's folder."""
         return msgspec.convert(json.loads((folder / RESULT_FILE).read_text()), cls)
 
     def to_json_object(self) -> dict[str, Any]:
-        """Return the result under the keys of its file."""
+        """Return the result as a JSON object with the keys of `result.json`."""
         document: dict[str, Any] = msgspec.to_builtins(self)
         return document
 
@@ -100,13 +103,13 @@
 
 @dataclass(slots=True)
 class ResourceUsage:
-    """Usage of the machine in a run, from its records.
+    """Measurements of a run's processes, collected from its records.
 
     Attributes:
-        lag_ms: The largest lag of each event loop of the laboratory.
+        lag_ms: The largest event loop lag of each laboratory process, by process name.
         histogram: Submission latencies in microseconds.
-        open_descriptors: The largest number of open file descriptors of a node.
-        rss_mib: The largest resident memory of a node.
+        open_descriptors: The largest number of open file descriptors of any node.
+        rss_mib: The largest resident memory of any node.
     """
 
     lag_ms: dict[str, float]
@@ -115,8 +118,8 @@
     rss_mib: float = 0.0
 
     @classmethod
-    def of(cls, records: Iterable[AnyRecord]) -> Self:
-        """Return the usage that these records show."""
+    def from_records(cls, records: Iterable[AnyRecord]) -> Self:
+        """Collect the measurements from a run's records."""
         usage = cls({}, HdrHistogram(1, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS))
         for record in records:
             if isinstance(record, EventLoopLagged):
@@ -129,7 +132,7 @@
         return usage
 
     def submission_latency(self) -> SubmissionLatency:
-        """Return percentiles of the submission latency."""
+        """Return the percentiles of the submission latency."""
         return SubmissionLatency(
             p50=self._percentile_ms(50),
             p90=self._percentile_ms(90),
@@ -142,7 +145,7 @@
         return value_us / 1000.0
 
     def void_reason(self) -> str:
-        """Return why a run with these lags is void; empty when it is not."""
+        """Return why a run with these event loop lags is void, or an empty string for a valid run."""
         if not self.lag_ms:
             return ""
         process, lag_ms = max(self.lag_ms.items(), key=lambda item: item[1])
@@ -151,15 +154,15 @@
 
 @dataclass(slots=True)
 class RunDescription:
-    """What was run, and what the run itself knows of its outcome.
+    """The parameters of a run, and the part of its result that is not in the records.
 
     Attributes:
         incident_title: The title of the incident.
         seed: The random seed.
-        node: What ran as the nodes.
-        started_at_ms: The start of the load on the monotonic clock.
+        node: The program that ran as each node.
+        started_at_ms: The time on the monotonic clock at which the load started.
         cpu_ms: CPU time of all nodes.
-        exit_codes: The exit code of each node; None for one that had to be killed.
+        exit_codes: The exit code of each node by its name. None if the node had to be killed.
     """
 
     incident_title: str
@@ -171,9 +174,9 @@
 
 
 def build_result(run: RunDescription, verdict: referee.Verdict, records: Sequence[AnyRecord]) -> RunResult:
-    """Return the result of a run from its verdict and its records."""
+    """Return the result of a run, computed from the referee's verdict and the run's records."""
     service = referee.measure_service(verdict.evidence)
-    usage = ResourceUsage.of(records)
+    usage = ResourceUsage.from_records(records)
     return RunResult(
         incident_title=run.incident_title,
         seed=run.seed,
--- a/swiftthread/lab/runner/run.py
+++ b/swiftthread/lab/runner/run.py
@@ -1,4 +1,4 @@
-"""One run: emulator, clients and nodes as processes, and the timeline of the incident."""
+"""One run of an incident: starts the emulator, clients and nodes, and applies the incident's timeline."""
 
 import os
 import sys
@@ -18,37 +18,39 @@
 from swiftthread.lab.runner.processes import READY_TIMEOUT_S, ManagedProcess
 from swiftthread.lab.runner.result import RunDescription, RunResult, build_result
 
-# Time between "all processes are ready" and the start of the load, in ms.
+# Time between the readiness of all processes and the start of the load.
 START_DELAY_MS = 300.0
-# Time between two samples of the nodes' CPU and memory, in s.
+# Time between two samples of the nodes' CPU time and memory.
 SAMPLE_INTERVAL_S = 0.25
-# Files of a run's folder.
+# The file in a run's folder that holds the incident, and the pattern of its record files.
 INCIDENT_FILE = "script.json"
 RECORD_FILES = "*.rows"
 
-Progress = Callable[[str], None]
+ReportProgress = Callable[[str], None]
 
 
 def read_folder_records(folder: Path) -> list[run_records.AnyRecord]:
-    """Return all records of a run's folder in order of time."""
+    """Return all records in a run's folder in order of time."""
     return run_records.read_records(*sorted(folder.glob(RECORD_FILES)))
 
 
 def _ignore_progress(text: str) -> None:
-    """Report no progress."""
+    """Discard progress reports."""
 
 
 class Run:
-    """Owner of all processes and files of one run. Every process it starts is ended, also on a cancel.
+    """The owner of all processes and files of one run.
+
+    Every process that it starts is stopped before `execute` returns or raises, even if the run is cancelled.
 
     Attributes:
-        incident: The incident that is played.
+        incident: The incident to run.
         seed: The random seed.
-        node: What runs as the nodes, see `command_for`.
-        folder: Where the files of the run are written.
-        tree: The source tree of the nodes.
-        cores: The cores the processes are pinned to; empty for no pinning.
-        started_at_ms: The start of the load on the monotonic clock.
+        node: The program that runs as each node, see `node_command`.
+        folder: The folder for the run's files.
+        tree: The source tree from which the nodes run.
+        cores: The cores that the processes are pinned to. Empty means no pinning.
+        started_at_ms: The time on the monotonic clock at which the load starts. 0 until the load is started.
     """
 
     def __init__(
@@ -74,45 +76,46 @@
         (self.folder / INCIDENT_FILE).write_bytes(msgspec.json.encode(incident))
 
     def record(self, record: run_records.AnyRecord) -> None:
-        """Append a record to those of the run."""
+        """Append a record to the run's records."""
         self.record_writer.write(record)
 
     def cores_for(self, number: int) -> list[int]:
-        """Return the cores of the node of this number; empty for all.
+        """Return the cores that the node with this number is pinned to. An empty list means all cores.
 
-        The emulator has the first core and each process of clients the next one; the nodes share the rest.
+        The emulator is pinned to the first core and each client process to one of the next cores. The nodes
+        share the remaining cores.
         """
         node_cores = self.cores[1 + self.incident.load.processes :]
         return [node_cores[number % len(node_cores)]] if node_cores else []
 
-    async def execute(self, progress: Progress = _ignore_progress) -> RunResult:
-        """Run the incident to its end, judge it, and write `result.json`.
+    async def execute(self, progress: ReportProgress = _ignore_progress) -> RunResult:
+        """Run the incident, judge its records, and write `result.json`.
 
         Args:
-            progress: Called with a short text whenever a second has passed.
+            progress: Called with a short text after each second of the run.
 
         Raises:
-            RunError: A process did not start or ended too early.
+            RunError: A process did not start, exited too early, or did not exit when the run was over.
         """
         try:
-            exit_codes = await self._play(progress)
+            exit_codes = await self._run_incident(progress)
         finally:
             self._clean_up()
         progress("judging")
-        result = self._result(exit_codes)
+        result = self._judge_run(exit_codes)
         result.write(self.folder)
         return result
 
-    async def _play(self, progress: Progress) -> dict[str, int | None]:
-        """Play the incident; return the exit code of each node."""
+    async def _run_incident(self, progress: ReportProgress) -> dict[str, int | None]:
+        """Run all processes through the incident, and return the exit code of each node by its name."""
         emulator = self._start_emulator()
-        clients = [self._start_clients(part) for part in range(self.incident.load.processes)]
+        clients = [self._start_clients(index) for index in range(self.incident.load.processes)]
         addresses = msgspec.json.decode(await emulator.read_line(), type=EmulatorAddresses)
         for process in clients:
             await process.read_line()
         await self._start_nodes(addresses)
         self._start_load(emulator, clients, addresses)
-        await self._play_timeline(progress)
+        await self._run_timeline(progress)
         exit_codes = await self._stop_nodes()
         await self._stop_processes([*clients, emulator])
         return exit_codes
@@ -120,14 +123,14 @@
     def _start_emulator(self) -> ManagedProcess:
         return self._start_process("emulator", "emulate", [], self.cores[:1])
 
-    def _start_clients(self, part: int) -> ManagedProcess:
-        cores = self.cores[1 + part : 2 + part]
-        return self._start_process(f"load-{part}", "clients", ["--part", str(part)], cores)
+    def _start_clients(self, index: int) -> ManagedProcess:
+        cores = self.cores[1 + index : 2 + index]
+        return self._start_process(f"load-{index}", "clients", ["--part", str(index)], cores)
 
     def _start_process(
         self, name: str, command: str, arguments: list[str], cores: list[int]
     ) -> ManagedProcess:
-        """Start a process of the laboratory that writes records to a file of its name."""
+        """Start a laboratory process that writes its records to a file named after it."""
         incident_path = str(self.folder / INCIDENT_FILE)
         records_path = str(self.folder / f"{name}.rows")
         common_arguments = [incident_path, "--seed", str(self.seed), "--rows", records_path]
@@ -151,15 +154,15 @@
     def _start_load(
         self, emulator: ManagedProcess, clients: list[ManagedProcess], addresses: EmulatorAddresses
     ) -> None:
-        """Tell all processes of the laboratory when the load starts."""
+        """Send the start time of the load to the emulator and the client processes."""
         self.started_at_ms = monotonic_ms() + START_DELAY_MS
         node_addresses = ",".join(node.listen_address() for node in self.nodes)
         emulator.send_line(f"go {self.started_at_ms}")
         for process in clients:
             process.send_line(f"go {self.started_at_ms} {addresses.feed} {node_addresses}")
 
-    async def _play_timeline(self, progress: Progress) -> None:
-        """Apply the steps that concern nodes, and sample the nodes, until the incident is over."""
+    async def _run_timeline(self, progress: ReportProgress) -> None:
+        """Apply the steps that affect nodes, and sample the nodes, until the end of the incident."""
         async with anyio.create_task_group() as tasks:
             for step in self.incident.step:
                 if step.what in NODE_FAULTS:
@@ -172,8 +175,12 @@
         number = int(step.on.removeprefix("node:"))
         await self.nodes[number].apply(step)
 
-    async def _sample_until_end(self, progress: Progress) -> None:
-        """Sample the nodes and watch the laboratory's processes until the incident is over."""
+    async def _sample_until_end(self, progress: ReportProgress) -> None:
+        """Sample the nodes and check the laboratory processes until the end of the incident.
+
+        Raises:
+            ProcessError: A laboratory process exited.
+        """
         duration_s = self.incident.duration_s
         ends_at = self.started_at_ms + 1000.0 * duration_s
         reported_s = 0
@@ -189,14 +196,14 @@
 
     def _check_processes(self) -> None:
         for process in self.processes:
-            if process.has_ended():
-                raise ProcessError(process.name, f"{process.name} ended: {process.last_log_line()}")
+            if process.has_exited():
+                raise ProcessError(process.name, f"{process.name} exited: {process.last_log_line()}")
 
     async def _stop_nodes(self) -> dict[str, int | None]:
         exit_codes: dict[str, int | None] = {}
 
         async def stop(node: NodeProcess) -> None:
-            node.keep_cpu_time()
+            node.accumulate_cpu_time()
             exit_codes[node.name] = await node.stop()
 
         async with anyio.create_task_group() as tasks:
@@ -209,7 +216,7 @@
             process.send_line("stop")
         for process in processes:
             if await process.wait_for_exit(READY_TIMEOUT_S) is None:
-                raise ProcessError(process.name, f"{process.name} did not end")
+                raise ProcessError(process.name, f"{process.name} did not exit after the stop command")
 
     def _clean_up(self) -> None:
         node_processes = [node.process for node in self.nodes if node.process]
@@ -217,7 +224,7 @@
             process.kill()
         self.record_writer.close()
 
-    def _result(self, exit_codes: dict[str, int | None]) -> RunResult:
+    def _judge_run(self, exit_codes: dict[str, int | None]) -> RunResult:
         records = read_folder_records(self.folder)
         verdict = referee.judge(self.incident, records)
         description = RunDescription(
--- a/tests/lab/test_cli.py
+++ b/tests/lab/test_cli.py
@@ -1,4 +1,4 @@
-"""The laboratory's command line: invalid input ends with exit code 2 and one line for each error."""
+"""The laboratory's command line: invalid input exits with code 2 and prints one line for each error."""
 
 import subprocess
 import sys
@@ -26,15 +26,15 @@
     )
 
 
-def test_check_reports_all_errors_of_all_files(tmp_path):
+def test_check_prints_all_errors_of_all_files(tmp_path):
     first, second = tmp_path / "one.toml", tmp_path / "two.toml"
     first.write_text(VALID_INCIDENT + "[[step]]\nat_ms = 5\nwhat = 'x'\n[[step]]\nat_ms = 4\nwhat = 'y'")
     second.write_text("format = 2")
     completed = run_lab("check", str(first), str(second))
     assert completed.returncode == 2 and "Traceback" not in completed.stderr
     assert [
-        word in completed.stderr
-        for word in ("step[0].what", "step[1].what", "step[1].at_ms", "two.toml: key format")
+        text in completed.stderr
+        for text in ("step[0].what", "step[1].what", "step[1].at_ms", "two.toml: key format")
     ] == [True] * 4
 
 
@@ -42,17 +42,17 @@
     "arguments, message",
     [
         (("run", "no-such"), "no-such: no such file"),
-        (("run", "calm", "--node", "other"), "--node other: is none of"),
+        (("run", "calm", "--node", "other"), "--node other: is not one of"),
         (("run", "calm", "--rev", "nowhere"), "nowhere: no such revision"),
         (("compare", "nowhere", "calm"), "nowhere: no such"),
     ],
 )
-def test_invalid_arguments_exit_with_2_and_one_line(arguments, message, tmp_path):
+def test_invalid_arguments_exit_with_code_2_and_print_one_line(arguments, message, tmp_path):
     completed = run_lab(*arguments, "--into", str(tmp_path / "r"))
     assert completed.returncode == 2 and message in completed.stderr and "Traceback" not in completed.stderr
 
 
-def test_a_node_that_does_not_start_is_one_line_and_nothing_is_left(tmp_path):
+def test_a_node_that_does_not_start_is_reported_without_a_traceback(tmp_path):
     completed = run_lab("run", "calm", "--node", "exec:/bin/false", "--into", str(tmp_path / "r"))
-    assert completed.returncode == 2 and "node n" in completed.stderr and "ended with 1" in completed.stderr
+    assert completed.returncode == 2 and "node n" in completed.stderr and "exited with 1" in completed.stderr
     assert "Traceback" not in completed.stderr
--- a/tests/lab/test_run_records.py
+++ b/tests/lab/test_run_records.py
@@ -1,4 +1,4 @@
-"""The rows of a run on disk: their words never change, so that rows of earlier runs can be judged anew."""
+"""Stored records of a run: their values must not change, so that earlier runs can be judged again."""
 
 import json
 from contextlib import closing
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, word",
+    "outcome, stored_value",
     [
         (CallOutcome.DONE, "done"),
         (CallOutcome.ERROR, "error"),
@@ -33,34 +33,38 @@
         (CallOutcome.NO_REPLY, "nothing"),
     ],
 )
-def test_an_outcome_is_stored_as_its_word(tmp_path, outcome, word):
-    path = tmp_path / "rows"
+def test_call_outcome_is_stored_as_its_value(tmp_path, outcome, stored_value):
+    path = tmp_path / "records"
     write_records(path, ReplySent(1.5, 7, outcome, 20.0))
     assert json.loads(path.read_bytes()) == {
         "row": "reply_sent",
         "at": 1.5,
         "call": 7,
-        "outcome": word,
+        "outcome": stored_value,
         "retry_after_ms": 20.0,
     }
     assert read_records(path) == [ReplySent(1.5, 7, outcome, 20.0)]
 
 
-@pytest.mark.parametrize("change, word", zip(DestinationChange, ("out", "back", "falls"), strict=True))
-def test_a_destination_change_is_stored_as_its_word(tmp_path, change, word):
-    path = tmp_path / "rows"
+@pytest.mark.parametrize(
+    "change, stored_value", zip(DestinationChange, ("out", "back", "falls"), strict=True)
+)
+def test_destination_change_is_stored_as_its_value(tmp_path, change, stored_value):
+    path = tmp_path / "records"
     write_records(path, DestinationChanged(1.0, 3, change))
-    assert json.loads(path.read_bytes())["change"] == word
+    assert json.loads(path.read_bytes())["change"] == stored_value
 
 
-@pytest.mark.parametrize("state, word", zip(EndpointState, ("SERVING", "DRAINING", "DELETED"), strict=True))
-def test_an_endpoint_state_is_stored_as_its_word(tmp_path, state, word):
-    path = tmp_path / "rows"
+@pytest.mark.parametrize(
+    "state, stored_value", zip(EndpointState, ("SERVING", "DRAINING", "DELETED"), strict=True)
+)
+def test_endpoint_state_is_stored_as_its_value(tmp_path, state, stored_value):
+    path = tmp_path / "records"
     write_records(path, EndpointStateAnnounced(1.0, "n0", "d1-0", state))
-    assert json.loads(path.read_bytes())["state"] == word
+    assert json.loads(path.read_bytes())["state"] == stored_value
 
 
-def test_records_of_several_files_are_read_in_order_without_a_line_cut_short(tmp_path):
+def test_records_of_several_files_are_read_in_order_of_time_without_a_truncated_line(tmp_path):
     first, second = tmp_path / "first", tmp_path / "second"
     late = ReplySent(9.0, 1, CallOutcome.DONE)
     early = ReplySent(2.0, 2, CallOutcome.ERROR)
