--- a/swiftthread/lab/experiment/__init__.py
+++ b/swiftthread/lab/experiment/__init__.py
@@ -8,7 +8,7 @@
     MatrixResult,
     group_by_cell,
     summary,
-    usable,
+    valid_results,
 )
 
 __all__ = [
@@ -21,5 +21,5 @@
     "group_by_cell",
     "play",
     "summary",
-    "usable",
+    "valid_results",
 ]
--- a/swiftthread/lab/experiment/matrix.py
+++ b/swiftthread/lab/experiment/matrix.py
@@ -1,4 +1,4 @@
-"""A matrix of runs that share the cores of the machine."""
+"""A matrix of runs: its cells, and their concurrent execution on the cores of the machine."""
 
 import json
 import os
@@ -16,9 +16,9 @@
 from swiftthread.lab.incident import Incident
 from swiftthread.lab.runner import NodeKind, Run
 
-# Attempts at a run that is voided by a lag of the laboratory itself.
-MAX_ATTEMPTS = 2
-# Runs at a time if no number is given; the cores are the limit before that.
+# Maximum executions of one cell; it is repeated if its run is void because a laboratory event loop lagged.
+MAX_EXECUTIONS = 2
+# Maximum concurrent runs if no number is given; in practice, the number of cores limits them first.
 DEFAULT_JOBS = 64
 RESULTS_FILE = "runs.jsonl"
 
@@ -30,10 +30,10 @@
 
     Attributes:
         name: The incident's path or name.
-        incident: The incident, at the load of this cell.
-        load: The factor on the incident's rate.
+        incident: The incident, with its rate multiplied by `load`.
+        load: The factor applied to the incident's rate.
         seed: The random seed.
-        node: What runs as the nodes.
+        node: The kind of node (see `NodeKind`), or the command that starts a node.
         revision: The git revision of the nodes, or `builds.TREE_REVISION`.
     """
 
@@ -50,7 +50,7 @@
         return f"{Path(self.name).stem}-x{self.load:g}-s{self.seed}-{node}-{self.revision}"
 
     def process_count(self) -> int:
-        """Return how many processes the run has: the emulator, the clients and the nodes."""
+        """Return the number of processes of the run: the emulator, the clients and the nodes."""
         return 1 + self.incident.load.processes + self.incident.fleet.nodes
 
 
@@ -61,14 +61,14 @@
     nodes: Iterable[str],
     revisions: Sequence[str],
 ) -> list[MatrixCell]:
-    """Return all runs of a matrix, those of one pair beside each other.
+    """Return all cells of a matrix; cells that differ only in their revision are adjacent.
 
     Args:
-        incidents: Incidents by name.
-        loads: Factors on the incidents' rates.
+        incidents: Incidents by path or name.
+        loads: Factors applied to the incidents' rates.
         seeds: Random seeds.
-        nodes: What runs as the nodes. Only `swiftthread` is run in all revisions.
-        revisions: Git revisions.
+        nodes: Kinds of nodes, or commands that start a node. Only `swiftthread` is run in all revisions.
+        revisions: Git revisions, which may include `builds.TREE_REVISION`.
     """
     return [
         MatrixCell(name, _with_load(incident, load), load, seed, node, revision)
@@ -86,7 +86,7 @@
 
 
 class CorePool:
-    """The machine's cores; a run reserves one for each of its processes, or all there are."""
+    """The machine's cores. A run reserves one for each of its processes, or all cores if there are fewer."""
 
     def __init__(self) -> None:
         self.free_cores = sorted(os.sched_getaffinity(0))
@@ -94,12 +94,12 @@
         self.released = anyio.Event()
 
     @asynccontextmanager
-    async def reserve(self, wanted: int) -> AsyncIterator[list[int]]:
-        """Wait for this many cores, or all if there are fewer, and reserve them for the context."""
-        while len(self.free_cores) < min(wanted, self.total):
+    async def reserve(self, core_count: int) -> AsyncIterator[list[int]]:
+        """Wait for `core_count` free cores, or all if there are fewer; reserve them for the context."""
+        while len(self.free_cores) < min(core_count, self.total):
             await self.released.wait()
-        reserved = self.free_cores[:wanted]
-        self.free_cores = self.free_cores[wanted:]
+        reserved = self.free_cores[:core_count]
+        self.free_cores = self.free_cores[core_count:]
         try:
             yield reserved
         finally:
@@ -113,10 +113,14 @@
 
 
 class Matrix:
-    """Plays the runs of a matrix beside each other.
+    """Executes the runs of a matrix concurrently.
 
     Attributes:
         folder: The folder of the runs and their results.
+        total: The number of runs of the matrix.
+        report: The function called with one line for each result.
+        core_pool: The cores on which the runs execute.
+        job_slots: The semaphore that limits the number of concurrent runs.
         results: The results so far.
     """
 
@@ -128,8 +132,8 @@
         self.job_slots = anyio.Semaphore(jobs or DEFAULT_JOBS)
         self.results: list[MatrixResult] = []
 
-    async def play_cell(self, cell: MatrixCell, tree: Path, results_file: TextIO) -> None:
-        """Play one run when there is room, and append its result to the file."""
+    async def run_cell(self, cell: MatrixCell, tree: Path, results_file: TextIO) -> None:
+        """Execute one run once a job slot and cores are free, and append its result to the file."""
         async with self.job_slots, self.core_pool.reserve(cell.process_count()) as cores:
             result = await _run_cell(cell, tree, self.folder / cell.label(), cores)
         self.results.append(result)
@@ -147,37 +151,37 @@
 
 
 async def play(
-    wanted: Sequence[MatrixCell], folder: Path, jobs: int | None, report: ReportLine
+    planned_cells: Sequence[MatrixCell], folder: Path, jobs: int | None, report: ReportLine
 ) -> list[MatrixResult]:
-    """Play all runs of a matrix; a void one is made once more.
+    """Execute all runs of a matrix; a void run is repeated once.
 
     Args:
-        wanted: The runs.
-        folder: Where their folders are made and their results are appended to `runs.jsonl`.
-        jobs: Runs at a time; None for as many as the cores allow.
-        report: Called with one line for each result.
+        planned_cells: The cells of the matrix.
+        folder: The folder in which the runs' folders are created; results are appended to its `runs.jsonl`.
+        jobs: The maximum number of concurrent runs; None for as many as the cores allow.
+        report: A function that is called with one line for each result.
 
     Returns:
         The results in the order in which the runs ended.
 
     Raises:
-        RunError: A run could not be made.
+        RunError: A run could not be executed.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    matrix = Matrix(folder, len(wanted), jobs, report)
+    matrix = Matrix(folder, len(planned_cells), jobs, report)
     with ExitStack() as stack, open(folder / RESULTS_FILE, "a", encoding="utf-8") as results_file:
-        revisions = dict.fromkeys(cell.revision for cell in wanted)
+        revisions = dict.fromkeys(cell.revision for cell in planned_cells)
         trees = {revision: stack.enter_context(builds.source_tree(revision)) for revision in revisions}
         async with anyio.create_task_group() as tasks:
-            for cell in wanted:
-                tasks.start_soon(matrix.play_cell, cell, trees[cell.revision], results_file)
+            for cell in planned_cells:
+                tasks.start_soon(matrix.run_cell, cell, trees[cell.revision], results_file)
     return matrix.results
 
 
 async def _run_cell(cell: MatrixCell, tree: Path, folder: Path, cores: Sequence[int]) -> MatrixResult:
-    """Play one run, once more if it is void."""
-    for number in range(MAX_ATTEMPTS):
-        run_folder = folder.with_name(f"{folder.name}-{number + 1}") if number else folder
+    """Execute one run, and repeat it once if it is void."""
+    for repetition in range(MAX_EXECUTIONS):
+        run_folder = folder.with_name(f"{folder.name}-{repetition + 1}") if repetition else folder
         if run_folder.exists():
             raise RunFolderExistsError(run_folder)
         result = await Run(cell.incident, cell.seed, cell.node, run_folder, tree, cores).execute()
--- a/swiftthread/lab/experiment/paired_comparison.py
+++ b/swiftthread/lab/experiment/paired_comparison.py
@@ -2,7 +2,7 @@
 
 Runs are paired by incident, load and seed. The confidence interval of a difference is the bias-corrected and
 accelerated bootstrap over the pairs (scipy.stats.bootstrap, 95 %, 9,999 resamples of a fixed seed). A
-difference is "more than chance" if its interval excludes zero and there are at least MIN_PAIRS pairs.
+difference is statistically significant if its interval excludes zero and there are at least MIN_PAIRS pairs.
 """
 
 import statistics
@@ -10,12 +10,12 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import NamedTuple
 
-from swiftthread.lab.experiment.results import MatrixResult, count_breaches, usable
+from swiftthread.lab.experiment.results import MatrixResult, count_breaches, valid_results
 
-# A bootstrap of fewer pairs says little, so that no interval is given below this.
+# No interval is given for fewer pairs than this because a bootstrap over so few is not reliable.
 MIN_PAIRS = 5
 CONFIDENCE_LEVEL = 0.95
-# Random seed of the bootstrap, so that the same results give the same interval.
+# Random seed of the bootstrap; it is fixed so that the same results give the same interval.
 BOOTSTRAP_SEED = 1
 
 
@@ -26,20 +26,20 @@
     high: float
 
     def excludes_zero(self) -> bool:
-        """Return whether all of the interval lies on one side of zero."""
+        """Return whether the whole interval lies on one side of zero."""
         return self.low > 0 or self.high < 0
 
 
 def confidence_interval_of(differences: Sequence[float]) -> ConfidenceInterval | None:
-    """Return the 95 % interval of the mean difference; None with too few pairs.
+    """Return the 95 % confidence interval of the mean difference; None with fewer than MIN_PAIRS pairs.
 
-    Equal differences, of which there is no bootstrap, give an interval of that one value.
+    If all differences are equal, no bootstrap is possible and both bounds are that value.
     """
     if len(differences) < MIN_PAIRS:
         return None
     if len(set(differences)) == 1:
         return ConfidenceInterval(differences[0], differences[0])
-    # Imported here, for they take long to load and no other command needs them.
+    # These modules take long to load and no other command needs them, so they are imported here.
     import numpy
     from scipy import stats
 
@@ -54,7 +54,7 @@
 
 
 class PairKey(NamedTuple):
-    """What the two runs of a pair have in common."""
+    """The properties that the two runs of a pair have in common."""
 
     incident: str
     load: float
@@ -62,15 +62,15 @@
 
 
 def paired_differences(results: Iterable[MatrixResult], before: str, after: str) -> dict[str, list[float]]:
-    """Return by incident the differences of the service measure over all pairs.
+    """Return the differences of the service measure of all pairs, by incident.
 
     Args:
         results: The results of both revisions.
-        before: The revision that is subtracted.
-        after: The revision that it is subtracted from.
+        before: The revision whose measure is subtracted.
+        after: The revision from whose measure it is subtracted.
     """
     measures: dict[PairKey, dict[str, float]] = defaultdict(dict)
-    for result in usable(results):
+    for result in valid_results(results):
         measures[PairKey(result.name, result.load, result.seed)][result.revision] = result.measure
     differences: dict[str, list[float]] = defaultdict(list)
     for key, by_revision in sorted(measures.items()):
@@ -80,19 +80,19 @@
 
 
 def describe_difference(differences: Sequence[float]) -> str:
-    """Return the mean difference, its interval, and whether it is more than chance."""
+    """Return a text with the mean difference, its interval, and whether it is statistically significant."""
     mean = statistics.mean(differences)
     interval = confidence_interval_of(differences)
     if interval is None:
-        return f"{mean:+.4f} over {len(differences)} pairs: too few to tell from chance"
-    conclusion = "more than chance" if interval.excludes_zero() else "no more than chance"
+        return f"{mean:+.4f} over {len(differences)} pairs: too few for a confidence interval"
+    conclusion = "statistically significant" if interval.excludes_zero() else "not statistically significant"
     return (
         f"{mean:+.4f} [{interval.low:+.4f}, {interval.high:+.4f}] over {len(differences)} pairs: {conclusion}"
     )
 
 
 def comparison(results: Sequence[MatrixResult], before: str, after: str) -> Iterator[str]:
-    """Yield lines that say what changed from one revision to the other."""
+    """Yield lines that compare the service measure and the broken rules of two revisions."""
     differences_by_incident = paired_differences(results, before, after)
     for incident, differences in differences_by_incident.items():
         yield f"{incident:22} {describe_difference(differences)}"
@@ -100,7 +100,7 @@
     if all_differences:
         yield f"{'all':22} {describe_difference(all_differences)}"
     breaches = {
-        revision: count_breaches(result for result in usable(results) if result.revision == revision)
+        revision: count_breaches(result for result in valid_results(results) if result.revision == revision)
         for revision in (before, after)
     }
     yield f"broken rules: {breaches[before]} before, {breaches[after]} after"
--- a/swiftthread/lab/experiment/results.py
+++ b/swiftthread/lab/experiment/results.py
@@ -1,4 +1,4 @@
-"""Results of the runs of a matrix, grouped by what was run."""
+"""Results of the runs of a matrix, grouped by cell."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator, Sequence
@@ -16,7 +16,7 @@
 
     Attributes:
         name: The incident's name.
-        load: The factor on the incident's rate.
+        load: The factor applied to the incident's rate.
         revision: The git revision of the nodes.
         folder: The name of the run's folder.
     """
@@ -28,7 +28,7 @@
 
 
 class Variant(NamedTuple):
-    """What runs of one incident differ in, apart from the seed."""
+    """The properties in which runs of one incident can differ, apart from the seed."""
 
     load: float
     node: str
@@ -49,7 +49,7 @@
 
 
 class MatrixGroup(NamedTuple):
-    """The results of a cell over its seeds; there is at least one."""
+    """The results of a cell over its seeds; there is at least one result."""
 
     cell: CellKey
     results: list[MatrixResult]
@@ -58,11 +58,11 @@
         """Return the mean service measure."""
         return sum(result.measure for result in self.results) / len(self.results)
 
-    def least(self) -> float:
-        """Return the least service measure."""
+    def minimum(self) -> float:
+        """Return the smallest service measure."""
         return min(result.measure for result in self.results)
 
-    def most(self) -> float:
+    def maximum(self) -> float:
         """Return the greatest service measure."""
         return max(result.measure for result in self.results)
 
@@ -71,7 +71,7 @@
         return count_breaches(self.results)
 
 
-def usable(results: Iterable[MatrixResult]) -> list[MatrixResult]:
+def valid_results(results: Iterable[MatrixResult]) -> list[MatrixResult]:
     """Return the results that are not void."""
     return [result for result in results if not result.void]
 
@@ -82,15 +82,15 @@
 
 
 def group_by_cell(results: Iterable[MatrixResult]) -> list[MatrixGroup]:
-    """Group the usable results by cell, in the order of the cells' keys."""
+    """Group the results that are not void by cell, in the order of the cells' keys."""
     groups: dict[CellKey, list[MatrixResult]] = defaultdict(list)
-    for result in usable(results):
+    for result in valid_results(results):
         groups[CellKey(result.name, result.load, result.node, result.revision)].append(result)
     return [MatrixGroup(key, group) for key, group in sorted(groups.items())]
 
 
 def summary(results: Sequence[MatrixResult]) -> Iterator[str]:
-    """Yield the lines of a table: broken rules first, then the mean and spread over the seeds."""
+    """Yield lines: the broken rules, a table of means and spreads over the seeds, and the void runs."""
     for result in results:
         for breach in result.breaches[:MAX_BREACHES_PER_RUN]:
             yield f"BROKEN {result.folder}: {breach.describe()}"
@@ -102,9 +102,9 @@
         cell = group.cell
         yield (
             f"{cell.incident:22} {cell.load:5g} {cell.node.partition(':')[0]:12} {cell.revision[:10]:10} "
-            f"{len(group.results):4} {group.mean():8.3f} {group.most() - group.least():7.3f} "
+            f"{len(group.results):4} {group.mean():8.3f} {group.maximum() - group.minimum():7.3f} "
             f"{group.breach_count():6}"
         )
-    void_count = len(results) - len(usable(results))
+    void_count = len(results) - len(valid_results(results))
     if void_count:
-        yield f"{void_count} runs are void (a loop of the laboratory lagged) and left out"
+        yield f"{void_count} runs are void (an event loop of the laboratory lagged) and left out of the table"
--- a/swiftthread/lab/referee/__init__.py
+++ b/swiftthread/lab/referee/__init__.py
@@ -1,8 +1,8 @@
-"""Judges a run by the rules, from what clients were answered and what endpoints and the platform observed.
+"""Checks the records of a run against the delivery rules.
 
-The referee shares no code with the node and uses nothing that a node reports of itself. Each rule is one
-function over the `Evidence`; each breach names its rule, its time and what was observed. docs/lab.md lists
-the rules.
+The records hold the responses that clients received and what endpoints and the platform observed. The referee
+shares no code with the node and uses nothing that a node reports about itself. Each rule is one function that
+takes the `Evidence`; each breach names its rule, its time and what was observed. docs/lab.md lists the rules.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -50,17 +50,17 @@
 
 
 class Verdict(NamedTuple):
-    """The evidence of a run and its breaches in order of time."""
+    """The evidence of a run and the breaches found in it, in order of time."""
 
     evidence: Evidence
     breaches: list[Breach]
 
 
 def judge(incident: Incident, records: Sequence[AnyRecord]) -> Verdict:
-    """Judge a run by all rules.
+    """Check a run against all rules.
 
     Args:
-        incident: The incident that was played.
+        incident: The incident that was run.
         records: All records of the run, in order of time.
     """
     evidence = Evidence(incident, records)
--- a/swiftthread/lab/referee/breach.py
+++ b/swiftthread/lab/referee/breach.py
@@ -1,4 +1,4 @@
-"""The rules a run is judged by, and a breach of one of them."""
+"""The rules that the referee checks, and a breach of one of them."""
 
 from enum import StrEnum
 from typing import NamedTuple
--- a/swiftthread/lab/referee/evidence.py
+++ b/swiftthread/lab/referee/evidence.py
@@ -1,4 +1,4 @@
-"""The records of a run, joined by event, call, destination and node for the rules."""
+"""The records of a run, joined by event, call, destination and node so that rules can be checked on them."""
 
 import math
 from collections import defaultdict
@@ -11,41 +11,41 @@
 from swiftthread.lab.outcomes import CallOutcome
 from swiftthread.lab.referee.node_lifecycle import NodeLifecycle, StateChange
 
-# Load of each further event of a batch, in calls with a single event.
+# Load of each event of a batch after the first, in calls with a single event.
 EXTRA_EVENT_LOAD = 0.05
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One delivery attempt: a call to an endpoint. All times in ms.
+    """One delivery attempt: a call to an endpoint. All times are in ms.
 
     Attributes:
-        at: When the last byte of the request was received.
-        first_byte_at: When its first byte was received.
+        received_at: When the endpoint received the last byte of the request.
+        first_byte_at: When the endpoint received the first byte of the request.
         endpoint: The endpoint's name.
         destination: The number of the endpoint's destination.
         zone: The endpoint's zone.
-        outcome: What the endpoint replied; None when it did not.
-        replied_at: When the reply was written; infinite when none was.
-        retry_after_ms: The Retry-After of the reply; 0 for none.
-        disconnected_at: When the caller closed before a reply; infinite when it did not.
+        outcome: What the endpoint did with the call (see `CallOutcome`); None when it has not responded.
+        responded_at: When the endpoint wrote the response; infinite when it wrote none.
+        retry_after_ms: The Retry-After of the response; 0 for none.
+        disconnected_at: When the caller closed the connection before a response; infinite when it did not.
     """
 
-    at: float
+    received_at: float
     first_byte_at: float
     endpoint: str
     destination: int
     zone: str
     outcome: str | None = None
-    replied_at: float = math.inf
+    responded_at: float = math.inf
     retry_after_ms: float = 0.0
     disconnected_at: float = math.inf
 
     @classmethod
     def from_record(cls, record: run_records.CallReceived) -> Self:
-        """Return the attempt that a call began, without a reply yet."""
+        """Return the attempt that a call started; it has no response yet."""
         return cls(
-            at=record.at,
+            received_at=record.at,
             first_byte_at=record.first_byte_at,
             endpoint=record.endpoint,
             destination=record.destination,
@@ -53,11 +53,14 @@
         )
 
     def ended_at(self) -> float:
-        """Return when the attempt was no longer in flight on an open connection."""
-        return min(self.replied_at, self.disconnected_at)
+        """Return when the attempt ended: by a response or because the caller closed the connection.
+
+        The time is infinite while neither has happened.
+        """
+        return min(self.responded_at, self.disconnected_at)
 
     def was_rejected(self) -> bool:
-        """Return whether the endpoint rejected the call before any work, so that it cannot have run."""
+        """Return whether the endpoint rejected the call before processing it, so that it never ran."""
         return self.outcome in (CallOutcome.RATE_LIMITED, CallOutcome.UNAVAILABLE)
 
     def is_acked(self) -> bool:
@@ -67,23 +70,24 @@
 
 @dataclass(slots=True, eq=False)
 class SubmittedEvent:
-    """One submission of an event, its attempts and its notifications. All times in ms.
+    """One submission of an event, its attempts and its notifications. All times are in ms.
 
     Attributes:
         event_id: The id of this submission.
         original_id: The id of the event's first submission.
-        node: The node it was submitted to.
+        node: The node that the event was submitted to.
         destination: The number of its destination.
         stream: Its stream type.
-        subject: Its ordering subject; empty for none.
+        subject: Its ordering key; empty for none.
         expires_at: When its maximum age is reached.
         submitted_at: When the client began to submit it.
-        scheduled_at: When the client was due to submit it.
-        status: The HTTP status of the answer; 0 for none in time, None when the client recorded nothing.
-        answered_at: When the client had the answer.
-        is_connection_broken: Whether the connection broke after the request was written in full.
+        scheduled_at: When the client was scheduled to submit it.
+        status: The HTTP status of the response; 0 when none arrived in time, None when the client recorded
+            no result.
+        response_received_at: When the client recorded the status; infinite when it recorded none.
+        is_connection_broken: Whether the connection failed after the request was written in full.
         attempts: Its delivery attempts.
-        notifications: Its outcomes as notified to the platform.
+        notifications: The notifications of its outcome that the platform received.
     """
 
     event_id: str
@@ -96,14 +100,14 @@
     submitted_at: float
     scheduled_at: float
     status: int | None = None
-    answered_at: float = math.inf
+    response_received_at: float = math.inf
     is_connection_broken: bool = False
     attempts: list[Attempt] = field(default_factory=list)
     notifications: list[run_records.NotificationReceived] = field(default_factory=list)
 
     @classmethod
     def from_record(cls, record: run_records.EventSubmitted, stream: Stream) -> Self:
-        """Return the submission that a client began, without an answer yet."""
+        """Return the submission that a client began; it has no response yet."""
         return cls(
             event_id=record.event_id,
             original_id=record.original_id,
@@ -117,12 +121,14 @@
         )
 
     def is_accepted(self) -> bool:
-        """Return whether the client had a 202."""
+        """Return whether the client received a 202."""
         return self.status == 202
 
     def acked_at(self) -> float:
         """Return when an endpoint first acknowledged the event; infinite when none did."""
-        return min([attempt.replied_at for attempt in self.attempts if attempt.is_acked()], default=math.inf)
+        return min(
+            [attempt.responded_at for attempt in self.attempts if attempt.is_acked()], default=math.inf
+        )
 
     def notified_at(self) -> float:
         """Return when the platform was first notified of an outcome; infinite when it was not."""
@@ -134,7 +140,7 @@
 
 
 class EndpointAnnouncement(NamedTuple):
-    """A node's endpoint list gave `state` for an endpoint from `at` (ms) on."""
+    """The state that a node's endpoint list gave for an endpoint from `at` (ms) onwards."""
 
     at: float
     state: str
@@ -143,7 +149,7 @@
 class LoadSample(NamedTuple):
     """Load that a destination received at `at` (ms), in calls with a single event.
 
-    `node` is the sender; empty for a health check, which only nodes that were told of an outage send.
+    `node` is the sender. It is empty for a health check, which only nodes that are aware of an outage send.
     """
 
     at: float
@@ -152,7 +158,7 @@
 
 
 class UnknownEvent(NamedTuple):
-    """An event that was sent at `at` (ms) though no client had submitted it."""
+    """An event that was sent at `at` (ms) although no client had submitted it."""
 
     at: float
     event_id: str
@@ -162,19 +168,24 @@
     """All records of a run, joined.
 
     Attributes:
-        incident: The incident that was played.
+        incident: The incident that was run.
         events: Submissions by event id.
         calls: Attempts by call number.
         announcements: Endpoint states by node and endpoint, in order of time.
         destination_changes: Outages and recoveries by destination.
         lifecycles: The state changes of each node's process.
         loads: Load received by destination, in order of time.
-        unknown_events: Events sent that no client submitted.
+        unknown_events: Events that were sent although no client had submitted them.
         last_record_at: The time of the last record, in ms.
     """
 
     def __init__(self, incident: Incident, records: Sequence[run_records.AnyRecord]) -> None:
-        """Join the records, which must be in order of time."""
+        """Join the records.
+
+        Args:
+            incident: The incident that was run.
+            records: All records of the run, in order of time.
+        """
         self.incident = incident
         self.events: dict[str, SubmittedEvent] = {}
         self.calls: dict[int, Attempt] = {}
@@ -191,8 +202,8 @@
     def _add_submissions(self, records: Sequence[run_records.AnyRecord]) -> None:
         """Add all submissions.
 
-        They come first, for a call may be recorded at the time of its submission and precede it in the
-        records.
+        Submissions are added before all other records because a call may be recorded with the same time as
+        its submission and precede it in the sequence.
         """
         streams = {stream.name: stream for stream in self.incident.stream}
         for record in records:
@@ -203,11 +214,11 @@
     def _add_record(self, record: run_records.AnyRecord) -> None:
         match record:
             case run_records.ClientAnswered():
-                self._add_answer(record)
+                self._add_client_response(record)
             case run_records.CallReceived():
                 self._add_call(record)
             case run_records.ReplySent():
-                self._add_reply(record)
+                self._add_endpoint_response(record)
             case run_records.CallerDisconnected():
                 self.calls[record.call].disconnected_at = record.at
             case run_records.NotificationReceived():
@@ -217,7 +228,7 @@
                 self._add_environment_record(record)
 
     def _add_environment_record(self, record: run_records.AnyRecord) -> None:
-        """Add a record that concerns no single event."""
+        """Add a record that does not concern a particular event or call."""
         match record:
             case run_records.HealthCheckReceived():
                 self.loads[record.destination].append(LoadSample(record.at, 1.0))
@@ -229,10 +240,10 @@
             case run_records.NodeLifecycleChanged():
                 self.lifecycles[record.node].changes.append(StateChange(record.at, record.state))
 
-    def _add_answer(self, record: run_records.ClientAnswered) -> None:
+    def _add_client_response(self, record: run_records.ClientAnswered) -> None:
         event = self.events[record.event_id]
         event.status = record.status
-        event.answered_at = record.at
+        event.response_received_at = record.at
         event.is_connection_broken = record.is_connection_broken
 
     def _add_call(self, record: run_records.CallReceived) -> None:
@@ -249,8 +260,8 @@
             else:
                 self.unknown_events.append(UnknownEvent(record.at, event_id))
 
-    def _add_reply(self, record: run_records.ReplySent) -> None:
+    def _add_endpoint_response(self, record: run_records.ReplySent) -> None:
         attempt = self.calls[record.call]
         attempt.outcome = record.outcome
-        attempt.replied_at = record.at
+        attempt.responded_at = record.at
         attempt.retry_after_ms = record.retry_after_ms
--- a/swiftthread/lab/referee/node_lifecycle.py
+++ b/swiftthread/lab/referee/node_lifecycle.py
@@ -1,4 +1,4 @@
-"""When a node was up, from the records of its process."""
+"""The times at which a node was ready or down, from the records of its process."""
 
 import math
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A node's process entered `state` at `at` (ms)."""
+    """The change of a node's process to `state` at `at` (ms)."""
 
     at: float
     state: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A time in which a node was stopping, down or starting; all times in ms.
+    """An interval in which a node was stopping, down or starting. All times are in ms.
 
     Attributes:
         first_down_at: When it was first killed or asked to stop.
@@ -66,10 +66,10 @@
         return any(start < change.at < end and change.state in DOWN_STATES for change in self.changes)
 
     def outcome_due_at(self, at: float) -> float:
-        """Return until when the node may report an outcome that was due at `at`.
+        """Return the latest time for the notification of an outcome that was due at `at`.
 
-        An outage around that time moves the limit to shortly after the node is ready again; the limit is
-        infinite when it never is.
+        An outage around `at` moves this time to READY_SLACK_MS after the node is ready again. The time is
+        infinite when the node is never ready again.
         """
         for outage in self.outages():
             if outage.first_down_at <= at + OUTCOME_SLACK_MS and at <= outage.ready_at + READY_SLACK_MS:
@@ -77,13 +77,13 @@
         return at + OUTCOME_SLACK_MS
 
     def killed_times(self) -> list[float]:
-        """Return when the node was killed."""
+        """Return the times at which the node was killed."""
         return [change.at for change in self.changes if change.state == NodeState.KILLED]
 
     def ready_times(self) -> list[float]:
-        """Return when the node was ready after a start."""
+        """Return the times at which the node became ready after a start."""
         return [change.at for change in self.changes if change.state == NodeState.READY]
 
     def next_ready_at(self, after: float) -> float:
-        """Return when the node was first ready later than `after`; infinite when it never was."""
+        """Return when the node first became ready after `after`; infinite when it never did."""
         return min([at for at in self.ready_times() if at > after], default=math.inf)
--- a/swiftthread/lab/referee/service_measure.py
+++ b/swiftthread/lab/referee/service_measure.py
@@ -1,4 +1,4 @@
-"""The service measure: the utility of acknowledged events over the utility of all submitted ones."""
+"""The service measure: the utility of acknowledged events divided by the utility of all submitted events."""
 
 import math
 from collections import Counter
@@ -8,23 +8,23 @@
 from swiftthread.lab.incident import Stream
 from swiftthread.lab.referee.evidence import Evidence, SubmittedEvent
 
-# Calls that got no reply are counted under this name, beside the outcomes of the others.
+# Calls without a response are counted under this name; other calls are counted under their outcome.
 UNANSWERED_CALL = "unanswered"
 
 
 class Count(StrEnum):
-    """Names of the counts in `result.json`, beside those of notified outcomes and of calls by outcome."""
+    """Names of the counts in `result.json`, apart from the counts of notified outcomes and of calls."""
 
     ACCEPTED = "taken"
     REJECTED = "refused"
-    NO_ANSWER = "unheard"
+    NO_RESPONSE = "unheard"
     EVENTS = "events"
     ACKED = "acked"
 
 
 @dataclass(slots=True)
 class UtilitySum:
-    """Utility of submitted events and the part of it that was earned."""
+    """The utility of submitted events, and how much of it was earned by acks."""
 
     offered: float = 0.0
     earned: float = 0.0
@@ -40,9 +40,9 @@
     """The service measure of a run.
 
     Attributes:
-        total: Utility over the whole run; each event counts once, by its first submission.
-        by_second: The same by second of the monotonic clock in which the event was scheduled.
-        counts: Numbers of submissions, events, calls and notifications by name.
+        total: The utility over the whole run. Each event counts once, by its first submission.
+        by_second: The utility by the second of the monotonic clock in which the event was scheduled.
+        counts: The numbers of submissions, events, calls and notifications by name.
     """
 
     total: UtilitySum = field(default_factory=UtilitySum)
@@ -51,7 +51,7 @@
 
     @property
     def value(self) -> float:
-        """The utility earned over the utility offered; 0 when nothing was submitted."""
+        """The utility earned divided by the utility offered; 0 when nothing was submitted."""
         return self.total.earned / self.total.offered if self.total.offered else 0.0
 
 
@@ -83,9 +83,9 @@
 
 
 def _acked_at_by_original_id(evidence: Evidence) -> dict[str, float]:
-    """Return when each event was first acked over all its submissions; infinite when it was not.
+    """Return when each event was first acked in any of its submissions; infinite when it was not.
 
-    An ack counts if the client was told of the acceptance, or if the run ended before it was answered.
+    An ack counts if the client received the 202, or if the run ended before the client had a response.
     """
     acked_at_by_id: dict[str, float] = {}
     for event in evidence.events.values():
@@ -97,17 +97,17 @@
 
 
 def _count_records(evidence: Evidence, counts: Counter[str]) -> None:
-    """Count submissions by answer, calls by outcome and events by notified outcome."""
+    """Count submissions by response, calls by outcome and events by notified outcome."""
     for event in evidence.events.values():
-        counts[_answer_count(event)] += 1
+        counts[_response_count(event)] += 1
         for outcome in {notification.outcome for notification in event.notifications}:
             counts[outcome] += 1
     for attempt in evidence.calls.values():
         counts[f"send {attempt.outcome or UNANSWERED_CALL}"] += 1
 
 
-def _answer_count(event: SubmittedEvent) -> Count:
-    """Return the count that a submission belongs to by its answer."""
+def _response_count(event: SubmittedEvent) -> Count:
+    """Return the count that a submission belongs to by its response."""
     if event.is_accepted():
         return Count.ACCEPTED
-    return Count.REJECTED if event.status else Count.NO_ANSWER
+    return Count.REJECTED if event.status else Count.NO_RESPONSE
--- a/swiftthread/lab/report/page.py
+++ b/swiftthread/lab/report/page.py
@@ -1,4 +1,4 @@
-"""The HTML page of a report: a title, broken rules, tables and plots."""
+"""The HTML page of a report: a title, the broken rules, tables and plots."""
 
 import base64
 import io
@@ -9,7 +9,7 @@
 
 import matplotlib
 
-# No display is needed. It is chosen before pyplot is imported.
+# The Agg backend needs no display. It must be selected before pyplot is imported.
 matplotlib.use("Agg")
 from jinja2 import Environment, PackageLoader
 from matplotlib import pyplot
@@ -26,24 +26,24 @@
 
 
 class Table(NamedTuple):
-    """A table of a page; the first cell of each row is its heading."""
+    """A table of a page; the first cell of each row is the heading of the row."""
 
     title: str
     rows: Sequence[Sequence[object]]
 
 
 class Plot(NamedTuple):
-    """A plot of a page: its title and its PNG in base64."""
+    """A plot of a page: its title and its PNG image encoded in base64."""
 
     title: str
-    data: str
+    png_base64: str
 
 
-class PlotFolder:
-    """Draws plots for a page and keeps each as a PNG file in a folder.
+class PlotWriter:
+    """Draws plots for a page and writes each to a PNG file.
 
     Attributes:
-        folder: The folder of the files.
+        folder: The folder in which the files are written.
         plots: The plots drawn so far.
     """
 
@@ -52,12 +52,12 @@
         self.plots: list[Plot] = []
 
     def add(self, title: str, file_stem: str, draw: Callable[[Axes], None]) -> None:
-        """Draw a plot.
+        """Draw a plot and write its file.
 
         Args:
-            title: Its title on the page.
-            file_stem: The name of its file without `.png`.
-            draw: Draws into the axes it is given.
+            title: The title of the plot on the page.
+            file_stem: The name of the file without `.png`.
+            draw: A function that draws the plot on the axes that it is given.
         """
         figure, axes = pyplot.subplots(figsize=FIGURE_SIZE_IN, dpi=FIGURE_DPI)
         draw(axes)
@@ -78,17 +78,17 @@
     """The contents of a page.
 
     Attributes:
-        title: Its title.
-        void: Which run is void and why; empty for none.
-        sees: What a reader should see in the plots; empty for nothing.
-        breaches: The broken rules, a line each.
-        tables: Its tables.
-        plots: Its plots.
+        title: The title of the page.
+        void_notice: Why the run is void, or how many runs are; empty when none is.
+        expected_observations: What the plots should show; empty for no such section.
+        breaches: The broken rules, one line each.
+        tables: The tables, in the order in which they are shown.
+        plots: The plots, in the order in which they are shown.
     """
 
     title: str
-    void: str = ""
-    sees: str = ""
+    void_notice: str = ""
+    expected_observations: str = ""
     breaches: list[str] = field(default_factory=list)
     tables: list[Table] = field(default_factory=list)
     plots: list[Plot] = field(default_factory=list)
@@ -97,8 +97,8 @@
         """Write the page as one HTML file."""
         html = TEMPLATES.get_template("report.html").render(
             title=self.title,
-            void=self.void,
-            sees=self.sees,
+            void_notice=self.void_notice,
+            expected_observations=self.expected_observations,
             breaches=self.breaches,
             tables=self.tables,
             plots=self.plots,
--- a/swiftthread/lab/report/run_plots.py
+++ b/swiftthread/lab/report/run_plots.py
@@ -12,7 +12,7 @@
 from swiftthread.lab import referee
 from swiftthread.lab.incident import Incident
 from swiftthread.lab.outcomes import CallOutcome
-from swiftthread.lab.report.page import PlotFolder
+from swiftthread.lab.report.page import PlotWriter
 from swiftthread.lab.run_records import AnyRecord, ProcessSampled
 
 OUTCOME_COLOURS = {
@@ -29,23 +29,23 @@
 STEP_COLOUR = "#a00"
 # Percentiles of the submission latency and their line styles.
 PERCENTILE_STYLES = {50: "-", 90: "--", 99: ":"}
-# Bounds of what is drawn, to keep plots legible.
+# Limits on the number of drawn items, which keep the plots legible.
 MAX_MARKED_STEPS = 20
 MAX_DESTINATIONS = 4
 MAX_NODES = 8
-# CPU usage is the mean over this many samples.
+# CPU usage is averaged over this number of samples.
 CPU_WINDOW_SAMPLES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class RunData:
-    """What the plots of a run are drawn from.
+    """The data from which the plots of a run are drawn.
 
     Attributes:
-        incident: The incident that was played.
+        incident: The incident that was run.
         records: All records of the run, in order of time.
         evidence: The same records, joined.
-        service: The service measure.
+        service: The service measure of the run.
         started_at_ms: The start of the load on the monotonic clock.
     """
 
@@ -55,11 +55,11 @@
     service: referee.ServiceMeasure
     started_at_ms: float
 
-    def by_second(self, samples: Iterable[tuple[float, Value]]) -> dict[int, list[Value]]:
-        """Group timed values by the second since the start of the load.
+    def group_by_second(self, samples: Iterable[tuple[float, Value]]) -> dict[int, list[Value]]:
+        """Group values by the second since the start of the load, in order of time.
 
         Args:
-            samples: Times in ms of the monotonic clock, with their values.
+            samples: Pairs of a time on the monotonic clock, in ms, and a value.
         """
         groups: dict[int, list[Value]] = defaultdict(list)
         for at, value in samples:
@@ -67,21 +67,23 @@
         return dict(sorted(groups.items()))
 
     def seconds_since_start(self, at: float) -> float:
-        """Return the seconds from the start of the load to `at` (ms)."""
+        """Return the time in seconds from the start of the load to `at` (ms)."""
         return (at - self.started_at_ms) / 1000.0
 
 
-def add_run_plots(plots: PlotFolder, run: RunData) -> None:
-    """Draw all plots of a run that there are records for."""
+def add_run_plots(plot_writer: PlotWriter, run: RunData) -> None:
+    """Draw all plots of a run for which there are records."""
     if run.service.by_second:
-        plots.add("Utility over time", "utility", lambda axes: _draw_utility(axes, run))
+        plot_writer.add("Utility over time", "utility", lambda axes: _draw_utility(axes, run))
     if any(event.status for event in run.evidence.events.values()):
-        plots.add("Latency", "latency", lambda axes: _draw_latency(axes, run))
+        plot_writer.add("Latency", "latency", lambda axes: _draw_latency(axes, run))
     if run.evidence.calls:
-        plots.add("Calls by how they ended", "outcomes", lambda axes: _draw_outcomes(axes, run))
-        title = "Pace against the limit (the first destinations)"
-        plots.add(title, "pace", lambda axes: _draw_request_rate(axes, run))
-    plots.add("The nodes' CPU and memory", "machine", lambda axes: _draw_process_usage(axes, run))
+        plot_writer.add("Calls by outcome", "outcomes", lambda axes: _draw_outcomes(axes, run))
+        title = "Call rate and rate limit of the first destinations"
+        plot_writer.add(title, "pace", lambda axes: _draw_request_rate(axes, run))
+    plot_writer.add(
+        "CPU and memory usage of the nodes", "machine", lambda axes: _draw_process_usage(axes, run)
+    )
 
 
 def _draw_utility(axes: Axes, run: RunData) -> None:
@@ -93,9 +95,9 @@
     )
     seconds = [second for second, _ in points]
     percentages = [percentage for _, percentage in points]
-    axes.plot(seconds, percentages, marker=".", label="by the second of the submission")
+    axes.plot(seconds, percentages, marker=".", label="by second of the scheduled submission")
     axes.set(
-        ylabel="utility, % of what was submitted",
+        ylabel="utility earned, % of submitted",
         ylim=(0, 105),
         xlim=(0, run.incident.duration_s),
         xlabel="s",
@@ -110,8 +112,8 @@
 
 
 def _draw_submission_latency(axes: Axes, run: RunData) -> None:
-    latencies = run.by_second(
-        (event.submitted_at, event.answered_at - event.submitted_at)
+    latencies = run.group_by_second(
+        (event.submitted_at, event.response_received_at - event.submitted_at)
         for event in run.evidence.events.values()
         if event.status
     )
@@ -121,7 +123,7 @@
 
 
 def _draw_ack_latency(axes: Axes, run: RunData) -> None:
-    latencies = run.by_second(
+    latencies = run.group_by_second(
         (event.scheduled_at, event.acked_at() - event.scheduled_at)
         for event in run.evidence.events.values()
         if math.isfinite(event.acked_at())
@@ -131,8 +133,9 @@
 
 
 def _draw_outcomes(axes: Axes, run: RunData) -> None:
-    outcomes = run.by_second(
-        (attempt.at, attempt.outcome or referee.UNANSWERED_CALL) for attempt in run.evidence.calls.values()
+    outcomes = run.group_by_second(
+        (attempt.received_at, attempt.outcome or referee.UNANSWERED_CALL)
+        for attempt in run.evidence.calls.values()
     )
     base = numpy.zeros(len(outcomes))
     for outcome, colour in OUTCOME_COLOURS.items():
@@ -140,7 +143,7 @@
         if heights.any():
             axes.bar(list(outcomes), heights, bottom=base, color=colour, label=outcome, width=0.9)
             base = base + heights
-    axes.set(ylabel="calls a second", xlabel="s", xlim=(-0.5, run.incident.duration_s))
+    axes.set(ylabel="calls per second", xlabel="s", xlim=(-0.5, run.incident.duration_s))
 
 
 def _draw_request_rate(axes: Axes, run: RunData) -> None:
@@ -149,8 +152,8 @@
     }
     seconds = range(int(run.incident.duration_s))
     for destination in list(rate_limits)[:MAX_DESTINATIONS]:
-        calls = run.by_second(
-            (attempt.at, attempt)
+        calls = run.group_by_second(
+            (attempt.received_at, attempt)
             for attempt in run.evidence.calls.values()
             if attempt.destination == destination
         )
@@ -158,7 +161,7 @@
         (line,) = axes.plot(seconds, rates, marker=".", label=f"destination {destination}")
         if rate_limits[destination]:
             axes.axhline(rate_limits[destination], color=line.get_color(), ls=":", lw=1)
-    axes.set(ylabel="calls a second, and the limit", xlabel="s", xlim=(0, run.incident.duration_s))
+    axes.set(ylabel="calls per second (dotted: limit)", xlabel="s", xlim=(0, run.incident.duration_s))
     _mark_steps(axes, run.incident)
 
 
@@ -189,7 +192,7 @@
 
 
 def _mark_steps(axes: Axes, incident: Incident) -> None:
-    """Mark the steps of the incident: a line at the start of each, a band over its duration."""
+    """Mark each step of the incident with a line at its start and a band over its duration."""
     for step in incident.step[:MAX_MARKED_STEPS]:
         starts_at_s = step.at_ms / 1000.0
         axes.axvline(starts_at_s, color=STEP_COLOUR, lw=0.8, alpha=0.6)
--- a/swiftthread/lab/report/run_report.py
+++ b/swiftthread/lab/report/run_report.py
@@ -6,16 +6,16 @@
 
 from swiftthread.lab import incident_file, referee
 from swiftthread.lab.incident import Incident
-from swiftthread.lab.report.page import Page, PlotFolder, Table
+from swiftthread.lab.report.page import Page, PlotWriter, Table
 from swiftthread.lab.report.run_plots import RunData, add_run_plots
 from swiftthread.lab.runner import INCIDENT_FILE, RunResult, read_folder_records
 
 
 def write_report(folder: Path) -> Path:
-    """Write the report of a run and its plots as PNG files; return the path of the page.
+    """Write the report of a run, and its plots as PNG files; return the path of the page.
 
     Args:
-        folder: The run's folder, with its incident, records and result.
+        folder: The run's folder, which holds its incident, records and result.
 
     Raises:
         OSError: One of these files cannot be read.
@@ -23,15 +23,15 @@
     incident = incident_file.load_json(folder / INCIDENT_FILE)
     result = RunResult.read(folder)
     run = _load_run(folder, incident, result)
-    plots = PlotFolder(folder)
-    add_run_plots(plots, run)
+    plot_writer = PlotWriter(folder)
+    add_run_plots(plot_writer, run)
     page = Page(
         title=f"{result.incident_title} ({result.node}, seed {result.seed})",
-        void=result.void,
-        sees=incident.sees,
+        void_notice=result.void,
+        expected_observations=incident.sees,
         breaches=[breach.describe() for breach in result.breaches],
         tables=_tables(result),
-        plots=plots.plots,
+        plots=plot_writer.plots,
     )
     path = folder / "report.html"
     page.write(path)
@@ -64,6 +64,6 @@
     ]
     return [
         Table("Counts", counts),
-        Table("Submission latency from the scheduled moment", latencies),
+        Table("Submission latency from the scheduled time", latencies),
         Table("Machine", machine),
     ]
--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -1,4 +1,4 @@
-"""Comparison of two builds: when a difference is more than chance."""
+"""Comparison of two builds: when a difference is reported as statistically significant."""
 
 import pytest
 
@@ -38,19 +38,19 @@
 @pytest.mark.parametrize(
     "after, message",
     [
-        ([0.7, 0.71, 0.72, 0.69, 0.7, 0.71], "more than chance"),
-        ([0.6, 0.5, 0.58, 0.62, 0.55, 0.57], "no more than chance"),
+        ([0.7, 0.71, 0.72, 0.69, 0.7, 0.71], "statistically significant"),
+        ([0.6, 0.5, 0.58, 0.62, 0.55, 0.57], "not statistically significant"),
     ],
 )
-def test_comparison_says_what_is_more_than_chance(after, message):
+def test_difference_is_significant_only_if_its_interval_excludes_zero(after, message):
     lines = list(
         experiment.comparison(results_of("x", [0.55, 0.56, 0.57, 0.58, 0.59, 0.54], after), "a", "b")
     )
     assert f"over 6 pairs: {message}" in lines[0]
 
 
-def test_few_pairs_give_no_interval_and_void_runs_are_left_out():
-    rows = results_of("x", [0.5, 0.5, 0.5], [0.9, 0.9, 0.9])
-    assert "too few" in next(experiment.comparison(rows, "a", "b"))
-    rows[0].void = "lag"
-    assert "over 2 pairs" in next(experiment.comparison(rows, "a", "b"))
+def test_comparison_gives_no_interval_for_few_pairs_and_leaves_void_runs_out():
+    results = results_of("x", [0.5, 0.5, 0.5], [0.9, 0.9, 0.9])
+    assert "too few" in next(experiment.comparison(results, "a", "b"))
+    results[0].void = "lag"
+    assert "over 2 pairs" in next(experiment.comparison(results, "a", "b"))
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -1,4 +1,4 @@
-"""The referee's rules on hand-written records: just inside and just outside of each limit."""
+"""The referee's rules on hand-written records, with values just inside and just outside each limit."""
 
 import pytest
 
@@ -48,24 +48,24 @@
 
 
 class RecordedRun:
-    """Builder of the records of a run; each method returns the builder."""
+    """Builder of the records of a run; the methods that add records return the builder."""
 
     def __init__(self):
         self.records = []
         self.call_count = 0
 
-    def submit(self, event_id, at=0.0, stream="idem", status=202, subject="", **more):
+    def submit(self, event_id, at=0.0, stream="idem", status=202, subject="", **fields):
         self.records.append(
             EventSubmitted(
                 at,
                 event_id,
-                more.get("original_id", event_id),
-                more.get("node", "n0"),
+                fields.get("original_id", event_id),
+                fields.get("node", "n0"),
                 stream,
                 1,
                 "",
                 subject,
-                more.get("expires_at", at + 5000.0),
+                fields.get("expires_at", at + 5000.0),
                 at,
             )
         )
@@ -77,16 +77,16 @@
         event_id,
         at,
         outcome=None,
-        after=10.0,
+        response_after_ms=10.0,
         zone="east",
-        wait=0.0,
+        retry_after_ms=0.0,
         disconnected_at=None,
         endpoint="d1-0",
     ):
         self.call_count += 1
         self.records.append(CallReceived(at, self.call_count, [event_id], endpoint, 1, zone, at))
         if outcome:
-            self.records.append(ReplySent(at + after, self.call_count, outcome, wait))
+            self.records.append(ReplySent(at + response_after_ms, self.call_count, outcome, retry_after_ms))
         elif disconnected_at:
             self.records.append(CallerDisconnected(disconnected_at, self.call_count))
         return self
@@ -99,14 +99,14 @@
         return self.add(NotificationReceived(at, "n0", event_id, outcome))
 
     def broken_rules(self):
-        # The run goes on long enough for every outcome to be due.
-        end = NodeLifecycleChanged(60_000.0, "n9", "ready")
-        records = sorted([*self.records, end], key=lambda record: record.at)
+        # A last record at 60 s makes the run long enough for every outcome to be due.
+        last_record = NodeLifecycleChanged(60_000.0, "n9", "ready")
+        records = sorted([*self.records, last_record], key=lambda record: record.at)
         return sorted({breach.rule for breach in referee.judge(INCIDENT, records).breaches})
 
 
-def acked(event_id, at=0.0, **more):
-    return RecordedRun().submit(event_id, at, **more).attempt(event_id, at + 10.0, "done")
+def acked(event_id, at=0.0, **fields):
+    return RecordedRun().submit(event_id, at, **fields).attempt(event_id, at + 10.0, "done")
 
 
 @pytest.mark.parametrize(
@@ -130,7 +130,7 @@
     ],
     ids=lambda value: None if isinstance(value, list) else "recorded",
 )
-def test_single_outcome(recorded, rules):
+def test_accepted_event_needs_one_outcome_in_time_and_no_attempt_after_it(recorded, rules):
     assert recorded.broken_rules() == rules
 
 
@@ -147,17 +147,18 @@
         ("dedup", ("error", {}), (100.0, {"zone": "west"}), ["no effect twice"]),
         ("dedup", ("full", {}), (100.0, {"zone": "west"}), []),
         ("wide", ("error", {}), (100.0, {"zone": "west"}), []),
-        ("idem", (None, {"disconnected_at": 150.0}), (90.0, {}), ["no effect twice"]),  # two in flight
+        # Both attempts are in flight at once.
+        ("idem", (None, {"disconnected_at": 150.0}), (90.0, {}), ["no effect twice"]),
         ("idem", (None, {"disconnected_at": 100.0}), (160.0, {}), []),
         ("once", (None, {"disconnected_at": 100.0}), (160.0, {}), ["no effect twice"]),
     ],
 )
-def test_effects(stream, first, second, rules):
-    outcome, more = first
+def test_second_attempt_breaks_the_rule_if_it_may_take_effect_twice(stream, first, second, rules):
+    outcome, first_options = first
     recorded = (
         RecordedRun()
         .submit("a", stream=stream)
-        .attempt("a", 10.0, outcome, **more)
+        .attempt("a", 10.0, outcome, **first_options)
         .attempt("a", second[0], "done", **second[1])
     )
     assert recorded.broken_rules() == rules
@@ -173,7 +174,7 @@
         ("idem", "error", []),
     ],
 )
-def test_handed_back_only_where_a_resubmission_is_safe(stream, outcome, rules):
+def test_handing_back_breaks_the_rule_if_a_resubmission_may_take_effect_twice(stream, outcome, rules):
     assert (
         RecordedRun().submit("a", stream=stream).attempt("a", 10.0, outcome).notify("a", 100.0).broken_rules()
         == rules
@@ -189,7 +190,7 @@
         ("SERVING", 1160.0, []),
     ],
 )
-def test_draining(state, at, rules):
+def test_attempt_after_the_grace_period_of_a_draining_endpoint_breaks_the_rule(state, at, rules):
     recorded = (
         RecordedRun()
         .submit("a", 90.0)
@@ -197,18 +198,19 @@
         .attempt("a", at, "done")
     )
     assert recorded.broken_rules() == rules
-    other = (
+    announced_to_other_node = (
         RecordedRun()
         .submit("a", 90.0)
         .add(EndpointStateAnnounced(100.0, "n1", "d1-0", state))
         .attempt("a", at, "done")
     )
-    assert other.broken_rules() == []  # another node was notified
+    assert announced_to_other_node.broken_rules() == []
 
 
 @pytest.mark.parametrize("calls, rules", [(16, []), (40, ["fall budget"])])
-def test_recovery_load(calls, rules):
-    # 20 calls a second, cold from 0.2: on recovery 2 x 20 x 0.2 x 2 s = 16 calls in any 2 s, and the slack.
+def test_load_above_the_recovery_budget_breaks_the_rule(calls, rules):
+    # The capacity is 20 calls/s and warm-up starts at a share of 0.2: on recovery, the budget is
+    # 2 x 20 x 0.2 x 2 s = 16 calls in any 2 s, plus the slack.
     recorded = RecordedRun().add(
         DestinationChanged(1000.0, 1, "out", 0.02), DestinationChanged(2000.0, 1, "back", 0.02)
     )
@@ -217,17 +219,17 @@
     assert recorded.broken_rules() == rules
 
 
-@pytest.mark.parametrize("told_nodes, rules", [(1, []), (3, ["fall budget"])])
-def test_recovery_load_of_nodes_that_were_not_told_is_no_breach(told_nodes, rules):
+@pytest.mark.parametrize("aware_node_count, rules", [(1, []), (3, ["fall budget"])])
+def test_overload_breaks_the_rule_only_if_nodes_aware_of_the_outage_caused_it(aware_node_count, rules):
     recorded = RecordedRun().add(
         DestinationChanged(1000.0, 1, "out", 0.02), DestinationChanged(2000.0, 1, "back", 0.02)
     )
-    for node in range(told_nodes):
+    for node in range(aware_node_count):
         recorded.submit(f"t{node}", 900.0, node=f"n{node}").attempt(f"t{node}", 1500.0, "full")
         recorded.notify(f"t{node}", 1600.0)
     for number in range(40):
-        ident = f"e{number}"
-        recorded.submit(ident, 1900.0, node=f"n{number % 4}").attempt(ident, 2010.0 + number, "done")
+        event_id = f"e{number}"
+        recorded.submit(event_id, 1900.0, node=f"n{number % 4}").attempt(event_id, 2010.0 + number, "done")
     assert recorded.broken_rules() == rules
 
 
@@ -235,22 +237,22 @@
     "second_at, first, rules",
     [
         (60.0, ("done", {}), []),
-        (30.0, ("done", {"after": 100.0}), ["order"]),
-        (200.0, ("done", {"after": 100.0}), []),
-        # The first event is unfinished.
+        (30.0, ("done", {"response_after_ms": 100.0}), ["order"]),
+        (200.0, ("done", {"response_after_ms": 100.0}), []),
+        # The first event has no final outcome yet when the second is sent.
         (200.0, ("reset", {}), ["order"]),
     ],
 )
-def test_order(second_at, first, rules):
-    outcome, more = first
+def test_sending_an_event_before_its_predecessor_is_finished_breaks_the_rule(second_at, first, rules):
+    outcome, first_options = first
     recorded = RecordedRun().submit("a", 0.0, "turn", subject="s").submit("b", 5.0, "turn", subject="s")
-    recorded.attempt("a", 10.0, outcome, **more).attempt("b", second_at, "done")
+    recorded.attempt("a", 10.0, outcome, **first_options).attempt("b", second_at, "done")
     if outcome == "reset":
         recorded.attempt("a", 700.0, "done")
     assert recorded.broken_rules() == rules
 
 
-def test_other_subjects_and_nodes_are_not_ordered():
+def test_events_of_different_subjects_or_nodes_need_no_order():
     recorded = RecordedRun().submit("a", 0.0, "turn", subject="s").submit("b", 5.0, "turn", subject="t")
     recorded.submit("c", 6.0, "turn", subject="s", node="n1").attempt("b", 12.0, "done").attempt(
         "c", 13.0, "done"
@@ -261,23 +263,23 @@
 @pytest.mark.parametrize(
     "at, node, rules", [(110.0, "n0", []), (160.0, "n0", ["told wait"]), (160.0, "n1", []), (970.0, "n0", [])]
 )
-def test_retry_after(at, node, rules):
-    recorded = RecordedRun().submit("a", node="n0").attempt("a", 10.0, "full", wait=1000.0)
+def test_call_before_a_retry_after_has_elapsed_breaks_the_rule(at, node, rules):
+    recorded = RecordedRun().submit("a", node="n0").attempt("a", 10.0, "full", retry_after_ms=1000.0)
     recorded.submit("b", 5.0, node=node).attempt("b", at, "done").attempt("a", 2000.0, "done")
     assert recorded.broken_rules() == rules
 
 
-def test_a_restart_ends_a_retry_after():
+def test_restarted_node_need_not_remember_a_retry_after():
     recorded = (
         RecordedRun()
         .submit("a")
-        .attempt("a", 10.0, "full", wait=1000.0)
+        .attempt("a", 10.0, "full", retry_after_ms=1000.0)
         .add(NodeLifecycleChanged(50.0, "n0", "killed"), NodeLifecycleChanged(300.0, "n0", "ready"))
     )
     assert recorded.attempt("a", 400.0, "done").broken_rules() == []
 
 
-def test_accepted_events_survive_a_kill():
+def test_accepted_event_needs_an_outcome_after_its_node_was_killed():
     recorded = (
         acked("a")
         .submit("b", 100.0)
@@ -287,7 +289,7 @@
     assert recorded.attempt("b", 1000.0, "done").broken_rules() == []
 
 
-def test_overdue_outcomes_are_due_after_the_restart():
+def test_outcome_that_became_due_during_a_restart_is_due_after_it():
     recorded = (
         RecordedRun()
         .submit("a")
@@ -300,11 +302,11 @@
 @pytest.mark.parametrize(
     "delay_ms, utility", [(0.0, 1.0), (1500.0, 1.0), (3250.0, 0.75), (5000.0, 0.5), (5000.1, 0.0)]
 )
-def test_utility_of_an_ack(delay_ms, utility):
+def test_utility_of_an_ack_declines_from_latency_objective_to_max_age(delay_ms, utility):
     assert referee.utility_of_ack(INCIDENT.stream[0], delay_ms) == pytest.approx(utility)
 
 
-def test_the_service_measure_counts_first_submissions():
+def test_service_measure_counts_each_event_by_its_first_submission():
     recorded = (
         acked("a").submit("b", 100.0, status=503).submit("b.1", 600.0, original_id="b", expires_at=5100.0)
     )
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -1,4 +1,4 @@
-"""Reports: the pages and the files of their plots, from the folder of a run."""
+"""Reports written from the folder of a run: the pages and the files of their plots."""
 
 import msgspec
 import pytest
@@ -31,7 +31,7 @@
 """,
     "report",
 )
-BREACH = ReportedBreach(referee.Rule.ORDER, 120.0, "e2: sent before e1 was over")
+BREACH = ReportedBreach(referee.Rule.ORDER, 120.0, "e2: sent before the earlier event e1 was finished")
 
 
 @pytest.fixture
@@ -70,29 +70,29 @@
     return tmp_path
 
 
-def test_result_is_read_as_it_was_written(run_folder, result):
+def test_result_that_is_written_and_read_is_unchanged(run_folder, result):
     assert RunResult.read(run_folder) == result
 
 
-def test_run_report_holds_breaches_tables_and_plots(run_folder):
+def test_run_report_contains_breaches_and_plots(run_folder):
     page = write_report(run_folder)
     html = page.read_text(encoding="utf-8")
     assert "one event (swiftthread, seed 7)" in html
     assert "Broken rules: 1" in html
-    assert "order at 120 ms: e2: sent before e1 was over" in html
+    assert "order at 120 ms: e2: sent before the earlier event e1 was finished" in html
     assert "one ack &lt; 1 s" in html
-    assert "is void" not in html
+    assert "Void:" not in html
     plots = {path.stem for path in run_folder.glob("*.png")}
     assert plots == {"utility", "latency", "outcomes", "pace", "machine"}
     assert html.count("data:image/png;base64,") == len(plots)
 
 
-def test_matrix_report_leaves_void_runs_out(tmp_path, result):
+def test_matrix_report_leaves_void_runs_out_of_the_table(tmp_path, result):
     fields = msgspec.structs.asdict(result) | {"name": "calm", "load": 1.0, "revision": "tree"}
     valid = MatrixResult(**fields, folder="calm-1")
     void = MatrixResult(**fields | {"void": "lag", "measure": 0.0}, folder="calm-2")
     html = write_matrix([valid, void], tmp_path).read_text(encoding="utf-8")
-    assert "1 of the runs are" in html
+    assert "Void: 1 of the runs, left out" in html
     assert "calm-1: order at 120 ms" in html
     assert "<td>1.000</td>" in html
     assert "<td>0.000</td>" not in html
