--- a/tests/lab/wrong_node.py
+++ b/tests/lab/wrong_node.py
@@ -1,6 +1,6 @@
-"""Stand-in nodes that break one rule each, on purpose: the referee must catch them.
+"""Faulty nodes that each break one rule of the referee on purpose.
 
-`python wrong_node.py RULE`.
+Usage: `python wrong_node.py CLASS`, with the name of a class below.
 """
 
 import asyncio
@@ -11,11 +11,11 @@
 
 
 class Correct(relay.SingleAttemptNode):
-    """Breaks nothing that the incidents it meets can show."""
+    """Breaks no rule in the incidents that it is used in, unless they kill it or give a Retry-After."""
 
 
 class LosesEvents(Correct):
-    """Accepts every tenth event and forgets it."""
+    """Drops every tenth accepted event without an attempt or a notification."""
 
     def __init__(self, configuration):
         super().__init__(configuration)
@@ -27,7 +27,7 @@
 
 
 class NotifiesTwice(Correct):
-    """Notifies of two outcomes of one event."""
+    """Notifies the platform of two different outcomes of each event."""
 
     async def deliver(self, event):
         await self.notify(event, EventOutcome.HANDED_BACK)
@@ -35,7 +35,7 @@
 
 
 class SendsExpired(Correct):
-    """Sends once the max age is over."""
+    """Sends each event after its max age."""
 
     async def deliver(self, event):
         await asyncio.sleep(event.remaining_ms() / 1000.0 + 0.1)
@@ -43,7 +43,7 @@
 
 
 class SendsRejected(Correct):
-    """Rejects with 503, and sends all the same."""
+    """Answers each valid submission with 503 and sends the event nevertheless."""
 
     def accept(self, request):
         reply = super().accept(request)
@@ -51,7 +51,7 @@
 
 
 class RetriesUnsafely(Correct):
-    """Sends again, whatever the stream type, though it may have run."""
+    """Retries an event of any stream type although its first attempt may have run."""
 
     async def deliver(self, event):
         result = await self.send(event)
@@ -61,7 +61,7 @@
 
 
 class RetriesAfterWindow(Correct):
-    """Sends a deduplicated event again once its window is over."""
+    """Retries a deduplicated event after the end of its deduplication window."""
 
     async def deliver(self, event):
         result = await self.send(event)
@@ -73,7 +73,7 @@
 
 
 class RetriesInOtherZone(Correct):
-    """Sends a deduplicated event again in the other zone."""
+    """Retries a deduplicated event in the other zone."""
 
     async def deliver(self, event):
         for endpoint in self.destinations[event.destination]:
@@ -84,7 +84,7 @@
 
 
 class SendsConcurrently(Correct):
-    """Sends twice without waiting for the first result."""
+    """Makes two attempts for each event without waiting for the result of the first."""
 
     async def deliver(self, event):
         results = await asyncio.gather(self.send(event), self.send(event))
@@ -99,7 +99,7 @@
 
 
 class FloodsRecovery(Correct):
-    """Retries at once until it is acknowledged."""
+    """Retries each event almost immediately until it is acknowledged or its max age is near."""
 
     async def deliver(self, event):
         while event.remaining_ms() > 50.0:
