--- a/swiftthread/routing/endpoint.py
+++ b/swiftthread/routing/endpoint.py
@@ -63,7 +63,7 @@
     """No call before this moment, after a full connection table; an unpaced endpoint has no other pause."""
 
     @property
-    def is_untried_while_down(self) -> bool:
+    def is_down_without_own_failure(self) -> bool:
         """Whether it is held to be down for the failures of others, and has not failed itself."""
         return self.is_down and not self.consecutive_failures
 
--- a/swiftthread/routing/health.py
+++ b/swiftthread/routing/health.py
@@ -72,7 +72,7 @@
         if outcome == SendOutcome.RATE_LIMITED and wait_ms > SHUT_AFTER_MS and not endpoint.is_down:
             self._mark_down(endpoint, outcome, now)
 
-    def record_stream_type(
+    def record_stream_type_outcome(
         self, endpoint: Endpoint, stream_type: StreamType, outcome: SendOutcome, now: float
     ) -> None:
         """Eject an endpoint for the stream type that it failed, until it acks one of it."""
@@ -286,7 +286,7 @@
     def _begin_outage(self, endpoint: Endpoint, siblings: list[Endpoint], now: float) -> None:
         """Keep when the outage began and what was usual before, unless this continues one."""
         affected = [endpoint, *siblings]
-        if any(other.is_down or self.recovery.is_warming(other, now) for other in affected):
+        if any(other.is_down or self.recovery.is_warming_up(other, now) for other in affected):
             return
         # It may have begun any time since the last ack, and it does not lessen the usual share.
         began_at = max(now - self.recovery.warm_up_ms, *(other.acked_at for other in affected))
--- a/swiftthread/routing/idle_connections.py
+++ b/swiftthread/routing/idle_connections.py
@@ -27,7 +27,7 @@
         """Look at the connections to this endpoint at the end of the scheduling cycle."""
         self.newly_idle[endpoint] = True
 
-    def take_disconnectable(self, now: float) -> list[Endpoint]:
+    def take_endpoints_to_disconnect(self, now: float) -> list[Endpoint]:
         """The endpoints whose idle connections to close now.
 
         Guards a connection table that those of many nodes fill: a connection that idles far longer than it is
--- a/swiftthread/routing/recovery.py
+++ b/swiftthread/routing/recovery.py
@@ -28,7 +28,7 @@
         self.overload_multiple = settings.overload_multiple
         self.growth_per_ms = (1 - settings.cold_capacity_share) / self.warm_up_ms
 
-    def is_warming(self, endpoint: Endpoint, now: float) -> bool:
+    def is_warming_up(self, endpoint: Endpoint, now: float) -> bool:
         """Whether the endpoint came back less than a warm-up ago."""
         return now - endpoint.warm_up_began_at < self.warm_up_ms
 
@@ -38,11 +38,11 @@
 
     def reserve(self, endpoint: Endpoint, cost: float, now: float) -> None:
         """Put the next cold slot off for a call, if the endpoint is down or warming up."""
-        if not endpoint.is_down and not self.is_warming(endpoint, now):
+        if not endpoint.is_down and not self.is_warming_up(endpoint, now):
             return
         limiter = endpoint.rate_limiter
         pause_ms = self.pause_ms(endpoint, now, cost)
-        if endpoint.is_untried_while_down:
+        if endpoint.is_down_without_own_failure:
             # It waited for no slot, so it takes none; the next call comes a pause after it all the same.
             limiter.set_next_recovery_slot(max(limiter.next_recovery_slot_at, now + pause_ms))
         else:
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -309,7 +309,7 @@
             until = now + retry_after_ms + RETRY_AFTER_MARGIN_MS
             endpoint.rate_limiter.apply_retry_after(until, self.jitter.uniform)
             self.health.record_retry_after(endpoint, outcome, now, retry_after_ms)
-        self.health.record_stream_type(endpoint, event.stream_type, outcome, now)
+        self.health.record_stream_type_outcome(endpoint, event.stream_type, outcome, now)
         if not call.is_recorded:
             call.is_recorded = outcome not in UNRELATED_TO_HEALTH
             self.health.record_call(endpoint, outcome, now, latency_ms, load_report)
@@ -342,7 +342,7 @@
 
     def endpoints_to_disconnect(self, now: float) -> list[Endpoint]:
         """Endpoints whose idle connections to close now."""
-        return self.idle_connections.take_disconnectable(now)
+        return self.idle_connections.take_endpoints_to_disconnect(now)
 
     def next_wakeup_at(self, now: float) -> float:
         """The next moment after now at which a list request or a health check is due."""
--- a/swiftthread/routing/selection.py
+++ b/swiftthread/routing/selection.py
@@ -108,11 +108,11 @@
                 or self.health_checks.must_pass_health_check(endpoint)
             ):
                 return math.inf
-            is_free_trial = endpoint.has_passed_health_check or endpoint.is_untried_while_down
+            is_free_trial = endpoint.has_passed_health_check or endpoint.is_down_without_own_failure
             return max(now if is_free_trial else limiter.next_recovery_slot_at, limiter.ready_at())
         if endpoint.calls_in_flight and self._is_unresponsive(endpoint, now):
             return math.inf
-        cold_slot_at = limiter.next_recovery_slot_at if self.recovery.is_warming(endpoint, now) else now
+        cold_slot_at = limiter.next_recovery_slot_at if self.recovery.is_warming_up(endpoint, now) else now
         return max(limiter.ready_at(), endpoint.retry_at, cold_slot_at)
 
     @staticmethod
--- a/swiftthread/routing/timeouts.py
+++ b/swiftthread/routing/timeouts.py
@@ -36,7 +36,7 @@
         if stream_type.effect == Effect.NON_IDEMPOTENT:
             # A time-out would only end the event: nothing may follow.
             return max(MIN_TIMEOUT_MS, time_left_ms)
-        factor = WARMING_FACTOR if self.recovery.is_warming(endpoint, now) else 1.0
+        factor = WARMING_FACTOR if self.recovery.is_warming_up(endpoint, now) else 1.0
         usual_ms = BASE_TIMEOUT_MS + TIMEOUT_LATENCIES * endpoint.rate_limiter.recent_latency_ms.value
         timeout_ms = min(factor * usual_ms, MAX_TIMEOUT_MS)
         if stream_type.effect == Effect.DEDUPLICATED:
