--- a/swiftthread/routing/rate_limiter.py
+++ b/swiftthread/routing/rate_limiter.py
@@ -37,11 +37,11 @@
 ADJUSTMENT_INTERVAL_MS = 1000.0
 # Confidence in a roughly listed rate, which may be up to half too high.
 ROUGH_LIST_CONFIDENCE = 0.7
-# The first reduction of a limiter that is not paced leaves at least this rate: one call per second.
+# The first reduction of a limiter without a rate leaves at least this rate: one call per second.
 MIN_RATE_PER_MS = 0.001
 # Floor of reductions while no rate is known to be served.
 MIN_UNSERVED_RATE_PER_MS = MIN_RATE_PER_MS / 4
-# Rate that is assumed where a calculation needs one and the limiter is not paced.
+# Rate that is assumed where a calculation needs one and the limiter has none.
 ASSUMED_RATE_PER_MS = 0.004
 # Number of emission intervals by which a call may be early.
 BURST_TOLERANCE_INTERVALS = 0.3
@@ -63,9 +63,9 @@
 LOWEST_LATENCY_DRIFT = 1.03
 # Latency that is assumed before the first sample.
 INITIAL_LATENCY_MS = 350.0
-# An endpoint may be unresponsive after this time without an outcome; longer than a brief stall.
+# Minimum time without an outcome after which an endpoint counts as unresponsive; longer than a brief stall.
 MIN_UNRESPONSIVE_MS = 700.0
-# The same as a multiple of the median latency; the longer of both applies.
+# The same time as a multiple of the median latency; the longer of both applies.
 UNRESPONSIVE_LATENCIES = 4.0
 # Averaging window of the rate of acked calls, which stands for this node's usual share of the calls.
 AVERAGE_ACK_RATE_WINDOW_MS = 10000.0
@@ -224,7 +224,7 @@
         """Return the listed rate per node among the nodes that are expected to have an event here.
 
         Args:
-            window_ms: The time within which such a node has an event here.
+            window_ms: A node counts if it has an event here within this time.
             demand_rate: Events per ms that arrive here; None stands for the listed rate, demand at the limit.
         """
         assert self.listed_rate is not None
@@ -389,7 +389,7 @@
             self.target_rate = self.rate
 
     def unresponsive_after_ms(self) -> float:
-        """Return the time without an outcome after which calls in flight are more than slow."""
+        """Return the time without an outcome after which an endpoint is unresponsive, not just slow."""
         return max(MIN_UNRESPONSIVE_MS, UNRESPONSIVE_LATENCIES * self.recent_latency_ms.value)
 
     def latency_has_risen(self) -> bool:
