--- a/swiftthread/routing/retry_rules.py
+++ b/swiftthread/routing/retry_rules.py
@@ -7,16 +7,16 @@
 from swiftthread.routing.settings import DeduplicationGroup, Effect, Settings
 
 # ms before a bound at which an event is answered, at least.
-MIN_ANSWER_MARGIN_MS = 12.0
+MIN_FINAL_OUTCOME_MARGIN_MS = 12.0
 # Turns of the caller before such a bound: one may come late.
-ANSWER_MARGIN_CYCLES = 2
+FINAL_OUTCOME_MARGIN_CYCLES = 2
 # Groups of more than a single endpoint.
 KNOWN_GROUPS = (DeduplicationGroup.ALL, DeduplicationGroup.ZONE)
 
 
-def answer_margin_ms(settings: Settings) -> float:
+def final_outcome_margin_ms(settings: Settings) -> float:
     """Ms before a bound of an event at which it is answered at the latest."""
-    return max(MIN_ANSWER_MARGIN_MS, ANSWER_MARGIN_CYCLES * settings.scheduling_interval_ms)
+    return max(MIN_FINAL_OUTCOME_MARGIN_MS, FINAL_OUTCOME_MARGIN_CYCLES * settings.scheduling_interval_ms)
 
 
 def deduplication_group(event: Event, endpoint: Endpoint) -> GroupId:
@@ -58,14 +58,14 @@
 
     def __init__(self, settings: Settings) -> None:
         self.max_attempts = settings.max_attempts
-        self.answer_margin_ms = answer_margin_ms(settings)
+        self.final_outcome_margin_ms = final_outcome_margin_ms(settings)
 
     def give_up_at(self, event: Event) -> float:
         """When the event is given up at the latest: before its max age, and within its window."""
-        last = event.expires_at - self.answer_margin_ms
+        last = event.expires_at - self.final_outcome_margin_ms
         if event.may_have_run_at is not None and event.stream_type.effect == Effect.DEDUPLICATED:
             window_ends_at = event.may_have_run_at + event.stream_type.deduplication_window_ms
-            last = min(last, window_ends_at - self.answer_margin_ms)
+            last = min(last, window_ends_at - self.final_outcome_margin_ms)
         return last
 
     def is_exhausted(self, event: Event, now: float) -> bool:
--- a/swiftthread/routing/timeouts.py
+++ b/swiftthread/routing/timeouts.py
@@ -5,7 +5,7 @@
 from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.events import Event
 from swiftthread.routing.recovery import RecoveryRamp
-from swiftthread.routing.retry_rules import answer_margin_ms
+from swiftthread.routing.retry_rules import final_outcome_margin_ms
 from swiftthread.routing.settings import Effect, Settings
 
 # ms: what a time-out is at least, before latencies are added; a long tail's 99th percentile.
@@ -26,7 +26,7 @@
     """Time-outs of attempts, by the latency of the endpoint and the time that the event has left."""
 
     def __init__(self, settings: Settings, recovery: RecoveryRamp) -> None:
-        self.answer_margin_ms = answer_margin_ms(settings)
+        self.final_outcome_margin_ms = final_outcome_margin_ms(settings)
         self.recovery = recovery
 
     def timeout_ms(self, event: Event, endpoint: Endpoint, now: float) -> float:
@@ -60,4 +60,4 @@
 
     def _time_left_ms(self, event: Event, now: float) -> float:
         """Ms for which an answer may be waited for: after that there must be time to tell the event's end."""
-        return event.expires_at - self.answer_margin_ms - now
+        return event.expires_at - self.final_outcome_margin_ms - now
