--- a/swiftthread/routing/__init__.py
+++ b/swiftthread/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions of one delivery node, free of I/O: where to send, whether to retry, what to reject."""
+"""Routing decisions of one delivery node, without I/O: where to send, whether to retry, what to reject."""
--- a/swiftthread/routing/endpoint_list.py
+++ b/swiftthread/routing/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Applies endpoint lists: endpoints that are added, changed, draining or gone."""
+"""Applies endpoint lists, in which endpoints are added, changed, draining or removed."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 from swiftthread.routing.recovery import RecoveryRamp
 from swiftthread.routing.settings import ListedRates, Settings
 
-# Warm-ups for which an endpoint that left the list is known, should it come back.
-KNOWN_WARM_UPS = 2
+# The state of a removed endpoint is retained for this many warm-ups after its last outcome, in case the list
+# names it again.
+RETENTION_WARM_UPS = 2
 
 
 class EndpointList:
@@ -29,58 +30,58 @@
         self.carriage_costs = [
             cost * weight / max(1, len(stream_types)) for cost in settings.carriage_cost_by_zone
         ]
-        """By zone, in units of the priority weight."""
+        """Carriage cost by zone, in units of the priority weight."""
         self.destinations: dict[int, Destination] = {}
-        """By number, as the list names them."""
+        """Destinations by their number in the endpoint list."""
         self.endpoints: dict[str | int, Endpoint] = {}
-        """By id; endpoints are dropped when they are long gone."""
+        """Endpoints by id; a removed endpoint is retained for some time (see `_may_forget`)."""
 
-    def destination(self, number: int) -> Destination:
-        """The destination of a number, which is made if it is new."""
+    def get_or_add_destination(self, number: int) -> Destination:
+        """Return the destination with this number, and add it if it is new."""
         return self.destinations.setdefault(number, Destination(number))
 
     def is_current(self, endpoint: Endpoint) -> bool:
-        """Whether this endpoint, and no other, is known under its id."""
+        """Return whether this endpoint is the one known under its id, not replaced or forgotten."""
         return self.endpoints.get(endpoint.endpoint_id) is endpoint
 
     def rate_limiters(self) -> set[RateLimiter]:
-        """The limiters of all known endpoints."""
+        """Return the limiters of all known endpoints."""
         return {endpoint.rate_limiter for endpoint in self.endpoints.values()}
 
     def apply(self, entries: Iterable[EndpointEntry], is_complete: bool, now: float) -> list[Endpoint]:
-        """Take a list in; a complete one drains the endpoints that it leaves out.
+        """Apply a list; a complete one drains the endpoints that it does not contain.
 
         Returns:
             The endpoints that are no longer known.
         """
-        dropped: list[Endpoint] = []
+        forgotten: list[Endpoint] = []
         listed_ids: set[str | int] = set()
-        grown: dict[Destination, bool] = {}
+        extended_destinations: dict[Destination, bool] = {}
         for entry in entries:
-            endpoint = self._apply_entry(EndpointEntry(*entry), dropped)
+            endpoint = self._apply_entry(EndpointEntry(*entry), forgotten)
             if endpoint is None:
                 continue
             listed_ids.add(endpoint.endpoint_id)
             destination = endpoint.destination
             if endpoint.is_ready and endpoint not in destination.endpoints:
-                # A new list: whoever iterates over the old one goes on undisturbed.
+                # Assign a new list, so that an iteration over the old one is not disturbed.
                 destination.endpoints = [*destination.endpoints, endpoint]
-                grown[destination] = True
-        for destination in grown:
+                extended_destinations[destination] = True
+        for destination in extended_destinations:
             destination.endpoints.sort(key=lambda endpoint: (endpoint.carriage_cost, endpoint.rank))
-        self._drain_unlisted(listed_ids, is_complete, now, dropped)
-        return dropped
+        self._drain_unlisted(listed_ids, is_complete, now, forgotten)
+        return forgotten
 
-    def _apply_entry(self, entry: EndpointEntry, dropped: list[Endpoint]) -> Endpoint | None:
-        """The endpoint that an entry names; None when it is unknown and not ready."""
-        destination = self.destination(entry.destination_number)
+    def _apply_entry(self, entry: EndpointEntry, forgotten: list[Endpoint]) -> Endpoint | None:
+        """Add or update the endpoint of an entry; return None for one that is unknown and not ready."""
+        destination = self.get_or_add_destination(entry.destination_number)
         has_separate_route = self._has_separate_route(entry.kind)
         retry_after_until = -math.inf
         known = self.endpoints.get(entry.endpoint_id)
         if known and (known.destination is not destination or known.has_separate_route != has_separate_route):
-            # Under its id it serves another destination now, or as another kind.
+            # The id now belongs to an endpoint of another destination, or with another kind of route.
             self._drain(self.endpoints.pop(entry.endpoint_id))
-            dropped.append(known)
+            forgotten.append(known)
             if known.destination is destination:
                 retry_after_until = known.rate_limiter.retry_after_until
             known = None
@@ -92,8 +93,8 @@
             endpoint.rate_limiter.update_from_list(listed_rate)
         else:
             endpoint = self._add(entry, destination, has_separate_route, listed_rate)
-        endpoint.rate_limiter.extend_retry_after(retry_after_until)  # a Retry-After outlasts the change
-        self._describe(endpoint, entry, has_separate_route)
+        endpoint.rate_limiter.extend_retry_after(retry_after_until)  # it holds across the change
+        self._update_from_entry(endpoint, entry, has_separate_route)
         return endpoint
 
     def _has_separate_route(self, kind: int) -> bool:
@@ -118,40 +119,45 @@
         self.endpoints[entry.endpoint_id] = endpoint
         return endpoint
 
-    def _describe(self, endpoint: Endpoint, entry: EndpointEntry, has_separate_route: bool) -> None:
+    def _update_from_entry(self, endpoint: Endpoint, entry: EndpointEntry, has_separate_route: bool) -> None:
         endpoint.has_separate_route = has_separate_route
         endpoint.is_ready = entry.is_ready
-        endpoint.zone = entry.zone  # it may come back elsewhere
+        endpoint.zone = entry.zone  # an endpoint that is listed again may be in another zone
         batch_sizes = self.settings.batch_size_by_kind
         endpoint.batch_size = batch_sizes[entry.kind] if entry.kind < len(batch_sizes) else 1
         has_cost = has_separate_route and entry.zone < len(self.carriage_costs)
         endpoint.carriage_cost = self.carriage_costs[entry.zone] if has_cost else 0.0
 
     def _drain_unlisted(
-        self, listed_ids: set[str | int], is_complete: bool, now: float, dropped: list[Endpoint]
+        self, listed_ids: set[str | int], is_complete: bool, now: float, forgotten: list[Endpoint]
     ) -> None:
-        leaving = [
+        draining = [
             endpoint
             for endpoint in self.endpoints.values()
             if not endpoint.is_ready or (is_complete and endpoint.endpoint_id not in listed_ids)
         ]
-        for endpoint in leaving:
+        for endpoint in draining:
             self._drain(endpoint)
             if self._may_forget(endpoint, now):
                 del self.endpoints[endpoint.endpoint_id]
-                dropped.append(endpoint)
+                forgotten.append(endpoint)
 
     def _may_forget(self, endpoint: Endpoint, now: float) -> bool:
-        """One that comes back under its id within an outage or a Retry-After must find both still known."""
-        known_until = max(
-            endpoint.last_outcome_at + KNOWN_WARM_UPS * self.recovery.warm_up_ms,
+        """Return whether the state of a draining or removed endpoint may be deleted.
+
+        An outage or a Retry-After must still be known if the endpoint is listed again under its id meanwhile.
+        """
+        retained_until = max(
+            endpoint.last_outcome_at + RETENTION_WARM_UPS * self.recovery.warm_up_ms,
             endpoint.rate_limiter.retry_after_until,
         )
-        return not endpoint.calls_in_flight and not endpoint.has_health_check_in_flight and now > known_until
+        return (
+            not endpoint.calls_in_flight and not endpoint.has_health_check_in_flight and now > retained_until
+        )
 
     @staticmethod
     def _drain(endpoint: Endpoint) -> None:
-        """Take an endpoint out of the choice of its destination."""
+        """Stop choosing an endpoint for attempts: mark it not ready and remove it from its destination."""
         endpoint.is_ready = False
         if endpoint in endpoint.destination.endpoints:
             endpoint.destination.endpoints.remove(endpoint)
--- a/swiftthread/routing/events.py
+++ b/swiftthread/routing/events.py
@@ -1,4 +1,4 @@
-"""State of events, calls and destinations in the router."""
+"""The state of events, calls and destinations in the router."""
 
 from __future__ import annotations
 
@@ -18,49 +18,56 @@
 
 @dataclass(slots=True, eq=False)
 class Destination:
-    """A destination, its ready endpoints in this node's order, and how many events are pending for it."""
+    """A destination as the endpoint list names it, and the events that are pending for it."""
 
     number: int
     endpoints: list[Endpoint] = field(default_factory=list)
+    """The ready endpoints, in this node's rank order."""
     rate_limiter: RateLimiter | None = None
-    """The limiter of the first endpoint; shared by all endpoints without a route of their own."""
+    """The limiter of the first endpoint; shared by all endpoints without a separate route."""
     pending_count: int = 0
+    """The number of pending events."""
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call to an endpoint, with the events that travel in it; it ends with the last of their outcomes."""
+    """A call of one or several events to an endpoint; it finishes with the last outcome of its events."""
 
     endpoint: Endpoint
     unresolved_count: int = 0
+    """The number of its events without an outcome."""
     is_recorded: bool = False
-    """Whether an outcome of it has been counted for the endpoint."""
+    """Whether one of its outcomes has been counted for the endpoint."""
 
 
 @dataclass(slots=True, eq=False)
 class Event:
-    """A pending event as the router sees it. Moments are in ms on the caller's clock."""
+    """A pending event as the router sees it. Times are in ms on the caller's clock."""
 
     stream_type: StreamType
     destination: Destination
     ordering_key: Hashable
-    """Events of one key are sent in the order they came; a false value is no key."""
+    """Events of one key are sent in the order of submission; a falsy value means no key."""
     priority_weight: float
     latency_objective_at: float
     expires_at: float
     check_at: float
     """When to decide again."""
     waits_for_outcome: bool = False
-    """Whether to decide again also as soon as any attempt of this node ends."""
+    """Whether to decide again also when any attempt of this node has its outcome."""
     attempts: int = 0
     is_finished: bool = False
     handle: Any = None
-    """The caller's own reference; the router does not read it."""
+    """A reference that the caller may set; the router does not read it."""
     call: Call | None = None
+    """The call of the attempt in flight."""
     endpoint: Endpoint | None = None
+    """The endpoint of the attempt in flight."""
     sent_at: float | None = None
+    """When the latest attempt was sent."""
     sent_group: GroupId | None = None
+    """The deduplication group of the latest attempt."""
     may_have_run_at: float | None = None
-    """When the first attempt was sent that may have had an effect."""
+    """When the first attempt that may have had an effect was sent."""
     may_have_run_group: GroupId | None = None
     """The deduplication group of that attempt."""
--- a/swiftthread/routing/list_polling.py
+++ b/swiftthread/routing/list_polling.py
@@ -1,4 +1,4 @@
-"""When to request the endpoint list again: exponential backoff with jitter."""
+"""Decides when to request the endpoint list again: exponential backoff with jitter."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from swiftthread.routing.jitter import Jitter
 from swiftthread.routing.settings import Settings
 
-# ms, mean, before a list is requested again of a local agent.
+# Mean pause before a failed request for the list to a local agent is repeated.
 AGENT_BACKOFF_MS = 200.0
-# ms, the same of a discovery that all nodes share; doubled by each failure.
+# The same to a discovery service that all nodes share, after the first failure; each further one doubles it.
 DISCOVERY_BACKOFF_MS = 1000.0
-# Share of the pause, either way: nodes that lost their lists together must not ask together.
+# Random deviation of a pause in either direction, as a share of it: nodes that lost their lists at the same
+# time must not request them at the same time.
 BACKOFF_SPREAD = 0.5
 
 
@@ -21,32 +22,33 @@
     def __init__(self, settings: Settings, jitter: Jitter) -> None:
         self.jitter = jitter
         self.next_request_at = 0.0 if settings.polls_discovery else math.inf
-        self.first_backoff_ms = AGENT_BACKOFF_MS
+        self.initial_backoff_ms = AGENT_BACKOFF_MS
         self.max_backoff_ms = AGENT_BACKOFF_MS
         if settings.polls_discovery:
-            self.first_backoff_ms = DISCOVERY_BACKOFF_MS
-            # Polled within this time, a node does not count as told of what it has not heard.
-            longest_ms = settings.poll_within_ms / (1 + BACKOFF_SPREAD)
-            self.max_backoff_ms = max(DISCOVERY_BACKOFF_MS, longest_ms)
-        self.backoff_ms = self.first_backoff_ms
+            self.initial_backoff_ms = DISCOVERY_BACKOFF_MS
+            # A node that polls within this time is not expected to know changes that it has not received yet.
+            max_mean_backoff_ms = settings.poll_within_ms / (1 + BACKOFF_SPREAD)
+            self.max_backoff_ms = max(DISCOVERY_BACKOFF_MS, max_mean_backoff_ms)
+        self.backoff_ms = self.initial_backoff_ms
 
-    def record_list(self) -> None:
-        """A list came: the backoff starts anew."""
-        self.backoff_ms = self.first_backoff_ms
+    def record_list_received(self) -> None:
+        """Reset the backoff, because a list was received."""
+        self.backoff_ms = self.initial_backoff_ms
 
     def record_failure(self, now: float) -> float:
-        """A request failed; returns when to make the next.
+        """Record that a request failed, and return when to make the next one.
 
-        Backoff is exponential where a call is a load on a discovery shared by all nodes: repeated sooner than
-        it can answer all, calls keep it rejecting them or answering too late.
+        The backoff is exponential for a discovery service that all nodes share, because every request adds to
+        its load: if requests are repeated sooner than it can answer all of them, it keeps rejecting them or
+        answering too late.
         """
-        factor = self.jitter.uniform(1 - BACKOFF_SPREAD, 1 + BACKOFF_SPREAD)
-        self.next_request_at = now + self.backoff_ms * factor
+        jitter_factor = self.jitter.uniform(1 - BACKOFF_SPREAD, 1 + BACKOFF_SPREAD)
+        self.next_request_at = now + self.backoff_ms * jitter_factor
         self.backoff_ms = min(2 * self.backoff_ms, self.max_backoff_ms)
         return self.next_request_at
 
-    def take_request(self, now: float) -> bool:
-        """Whether to request the list now; true once until the next failure."""
+    def start_due_request(self, now: float) -> bool:
+        """Return whether to request the list now: true once, then false until a request fails."""
         if now < self.next_request_at:
             return False
         self.next_request_at = math.inf
--- a/swiftthread/routing/messages.py
+++ b/swiftthread/routing/messages.py
@@ -1,4 +1,4 @@
-"""Answers of the router and outcomes of attempts: the messages between the router and its callers."""
+"""Messages between the router and its callers: decisions, outcomes of attempts, and endpoint descriptions."""
 
 from __future__ import annotations
 
@@ -11,25 +11,27 @@
 
 
 class SendOutcome(StrEnum):
-    """How an attempt ended, whatever the protocol calls it."""
+    """The outcome of an attempt, independent of the protocol."""
 
     ACKED = "acked"
     FAILED = "failed"
-    """The endpoint answered with an error; the event may have run."""
+    """The endpoint responded with an error; the event may have run."""
     RATE_LIMITED = "rate limited"
-    """The endpoint rejected the call because of its limit; the event did not run."""
+    """The endpoint rejected the call because of its rate limit; the event did not run."""
     TIMED_OUT = "timed out"
+    """The attempt had no outcome within its timeout; the event may have run."""
     UNREACHABLE = "unreachable"
-    """No connection was made; the event did not run."""
+    """No connection was established; the event did not run."""
     RESET = "reset"
-    """The connection ended before a complete answer; the event may have run."""
+    """The connection was closed before a complete response; the event may have run."""
     CANCELLED = "cancelled"
+    """The attempt was cancelled before it had an outcome; the event may have run."""
     NOT_EXECUTED = "not executed"
-    """The endpoint says that it did not run the event, and nothing about its own health."""
+    """The endpoint responded that it did not run the event, which says nothing about its health."""
     CONNECTION_LIMIT = "connection limit"
-    """A new connection was rejected: the endpoint runs, its connection table is full."""
+    """A new connection was rejected: the endpoint is running, but has reached its connection limit."""
     NOT_SENT = "not sent"
-    """This node never released the last byte: no attempt was made, nobody was called."""
+    """This node never sent the last byte of the request: no attempt was made, and the event did not run."""
 
 
 NEVER_RAN = (
@@ -39,67 +41,68 @@
     SendOutcome.CONNECTION_LIMIT,
     SendOutcome.NOT_SENT,
 )
-"""Outcomes after which the event surely had no effect."""
+"""Outcomes after which the event certainly had no effect."""
 
 MAY_HAVE_RUN = (SendOutcome.FAILED, SendOutcome.TIMED_OUT, SendOutcome.RESET, SendOutcome.CANCELLED)
 """Outcomes after which the event may have had an effect, or may still have one."""
 
-
 UNRELATED_TO_HEALTH = (SendOutcome.CANCELLED, SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT)
-"""Outcomes that say nothing of the endpoint."""
+"""Outcomes that say nothing about the health of the endpoint."""
 
 
 class Send(NamedTuple):
-    """Send the event to this endpoint, and stop waiting after `timeout_ms`."""
+    """Send the event to this endpoint, and time out after `timeout_ms` without an outcome."""
 
     endpoint: Endpoint
     timeout_ms: float
 
 
 class Reject(NamedTuple):
-    """Return the event undelivered; its client may retry, best after `retry_after_ms` (0: no advice)."""
+    """Reject the event; its client may resubmit it, preferably after `retry_after_ms` (0 for no advice)."""
 
     retry_after_ms: float
 
 
 class Abandon(NamedTuple):
-    """End the event; whether it had an effect is unknown."""
+    """Abandon the event; it may have had an effect."""
 
 
 class Defer(NamedTuple):
-    """Nothing to do yet: `Router.next_check` says when to ask again."""
+    """Keep the event pending; `Router.next_check` says when to decide it again."""
 
 
 class NextCheck(NamedTuple):
-    """Ask again at `at` (ms), or before it once any attempt of this node ends, if `or_after_outcome`."""
+    """When to decide a deferred event again."""
 
     at: float
+    """The time of the next decision, in ms."""
     or_after_outcome: bool
+    """Whether to decide earlier if any attempt of this node has its outcome before that time."""
 
 
 class LoadReport(NamedTuple):
-    """Load report of an endpoint, as it comes with an answer or a health check."""
+    """The load report of an endpoint, which comes with a response to a call or a health check."""
 
     spare_share: float
-    """Share of the limit that is left, 0 to 1."""
+    """The unused share of the limit, 0 to 1."""
     limit_per_s: float
-    """Limit in calls per second; 0 when the report names none."""
+    """The limit in calls per second; 0 if the report names none."""
 
     @classmethod
     def from_fields(cls, fields: Mapping[str, float]) -> LoadReport | None:
-        """The report by the names of its fields on the wire (`x0`, `x1`); None when there are none."""
+        """Build a report from its fields on the wire (`x0`, `x1`); None if there are none."""
         if not fields:
             return None
         return cls(fields.get("x0", 1.0), fields.get("x1", 0.0))
 
 
 class EndpointEntry(NamedTuple):
-    """One endpoint of an endpoint list, as discovery announces it."""
+    """The entry of one endpoint in an endpoint list from discovery."""
 
     endpoint_id: str | int
     destination_number: int
     zone: int
     kind: int
     listed_rate: float
-    """Calls per second of the destination, or of this route; 0 when it is not listed."""
+    """The limit of the destination, or of this route, in calls per second; 0 if the list names none."""
     is_ready: bool
--- a/swiftthread/routing/observer.py
+++ b/swiftthread/routing/observer.py
@@ -1,4 +1,4 @@
-"""What the router tells an observer about changes of state, for logs and metrics. No decision hangs on it."""
+"""Notifications of state changes to an observer, for logs and metrics. No decision depends on them."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 
 
 class EndpointDown(NamedTuple):
-    """An endpoint is held to be down from now on. Spans in ms."""
+    """An endpoint was marked down. Durations are in ms."""
 
     endpoint_id: str | int
     destination_number: int
     last_outcome: SendOutcome | None
-    """How the last call to it ended; None when it is held to be down for the failures of others."""
+    """The outcome of the last call to it; None if it was marked down for failures of other endpoints."""
     consecutive_failures: int
     unacked_ms: float
-    """Since the last acked call; inf when there was none."""
+    """The time since the last acked call; inf if there was none."""
     next_trial_ms: float
-    """Until the next trial may go."""
+    """The time until the next trial may be sent."""
 
 
 class EndpointRecovering(NamedTuple):
-    """An endpoint acked a call and warms up from now on. Spans in ms."""
+    """An endpoint acked a call and begins its warm-up. Durations are in ms."""
 
     endpoint_id: str | int
     destination_number: int
     warm_up_elapsed_ms: float
-    """For how long it is taken to have been back already."""
+    """The elapsed part of the warm-up, which is assumed to have begun before the ack."""
     next_call_ms: float
-    """Until the next call may go."""
+    """The time until the next call may be sent."""
 
 
 class RoutingObserver(Protocol):
-    """Hears of changes of state as they happen."""
+    """Is notified of state changes of endpoints as they happen."""
 
     def endpoint_down(self, change: EndpointDown) -> None:
-        """An endpoint is held to be down."""
+        """Handle an endpoint that was marked down."""
 
     def endpoint_recovering(self, change: EndpointRecovering) -> None:
-        """An endpoint that was down warms up."""
+        """Handle an endpoint that begins its warm-up."""
 
 
 class NullObserver:
-    """Hears of everything and does nothing."""
+    """An observer that ignores all notifications."""
 
     def endpoint_down(self, change: EndpointDown) -> None:
         """Do nothing."""
--- a/swiftthread/routing/ordering.py
+++ b/swiftthread/routing/ordering.py
@@ -1,4 +1,4 @@
-"""Turns of events that share an ordering key: one at a time, in the order they came."""
+"""Ordering of events that share an ordering key: they are sent one at a time, in the order of submission."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from swiftthread.routing.events import Event
 
-# ms: least wait of an event whose key rests, so that it is not decided again at the same moment.
-MIN_REST_MS = 1.0
+# An event of a paused key waits at least this time, so that it is not decided again at the same time.
+MIN_PAUSE_MS = 1.0
 
 
 @dataclass(slots=True)
@@ -18,47 +18,47 @@
     """The pending events of one ordering key."""
 
     events: deque[Event] = field(default_factory=deque)
-    rests_until: float = -math.inf
-    """No first attempt before this moment: one of the key may still run."""
+    paused_until: float = -math.inf
+    """No event of the key gets its first attempt before this time: an earlier attempt may still run."""
 
 
 class OrderingQueues:
-    """The queues of all ordering keys; one is dropped when it is empty and rested."""
+    """The queues of all ordering keys; a queue is deleted when it is empty and no longer paused."""
 
-    def __init__(self, rest_ms: float) -> None:
-        self.rest_ms = rest_ms
+    def __init__(self, pause_ms: float) -> None:
+        self.pause_ms = pause_ms
         self.queues: dict[Hashable, OrderingQueue] = {}
 
     def add(self, event: Event, now: float) -> None:
-        """Put an event behind those of its key."""
+        """Append an event to the queue of its key, and delete the queues that are no longer needed."""
         for key in [
-            key for key, queue in self.queues.items() if not queue.events and queue.rests_until <= now
+            key for key, queue in self.queues.items() if not queue.events and queue.paused_until <= now
         ]:
             del self.queues[key]
         self.queues.setdefault(event.ordering_key, OrderingQueue()).events.append(event)
 
     def may_send_at(self, event: Event, now: float) -> float:
-        """When it is this event's turn: `now`, a later moment, or inf: after those before it."""
+        """Return when an event may be sent: `now`, a later time, or inf while another one precedes it."""
         if not event.ordering_key:
             return now
         queue = self.queues[event.ordering_key]
         if queue.events[0] is not event:
             return math.inf
-        if queue.rests_until > now and event.attempts == 0:
-            return max(queue.rests_until, now + MIN_REST_MS)
+        if queue.paused_until > now and event.attempts == 0:
+            return max(queue.paused_until, now + MIN_PAUSE_MS)
         return now
 
     def first(self, ordering_key: Hashable) -> Event | None:
-        """The event whose turn it is among those of a key; None when none is pending."""
+        """Return the first pending event of a key; None if it has none."""
         queue = self.queues.get(ordering_key)
         return queue.events[0] if queue and queue.events else None
 
     def pause(self, ordering_key: Hashable, now: float) -> None:
-        """Hold the next event of a key back after an attempt that may still run."""
-        self.queues[ordering_key].rests_until = now + self.rest_ms
+        """Delay the next event of a key after an attempt that may still run."""
+        self.queues[ordering_key].paused_until = now + self.pause_ms
 
     def remove(self, event: Event) -> None:
-        """Take an event out of its queue, unless it is out already or its attempt is in flight."""
+        """Remove an event from its queue, unless it was removed before or has an attempt in flight."""
         if not event.ordering_key or event.call is not None:
             return
         events = self.queues[event.ordering_key].events
--- a/swiftthread/routing/retry_rules.py
+++ b/swiftthread/routing/retry_rules.py
@@ -1,4 +1,4 @@
-"""What may follow an attempt: idempotency, the deduplication window and its group, the end of an event."""
+"""Rules for retries: effects, deduplication windows and groups, and the time and attempts an event has."""
 
 from __future__ import annotations
 
@@ -6,31 +6,32 @@
 from swiftthread.routing.events import Event, GroupId
 from swiftthread.routing.settings import DeduplicationGroup, Effect, Settings
 
-# ms before a bound at which an event is answered, at least.
+# An event gets its final outcome at least this time before its max age or its deduplication window ends.
 MIN_FINAL_OUTCOME_MARGIN_MS = 12.0
-# Turns of the caller before such a bound: one may come late.
+# The same margin in scheduling cycles, of which one may run late; the longer margin holds.
 FINAL_OUTCOME_MARGIN_CYCLES = 2
-# Groups of more than a single endpoint.
-KNOWN_GROUPS = (DeduplicationGroup.ALL, DeduplicationGroup.ZONE)
+# Deduplication groups that can have several endpoints.
+MULTI_ENDPOINT_GROUPS = (DeduplicationGroup.ALL, DeduplicationGroup.ZONE)
 
 
 def final_outcome_margin_ms(settings: Settings) -> float:
-    """Ms before a bound of an event at which it is answered at the latest."""
+    """Return the least time in ms from an event's final outcome to the end of its max age or window."""
     return max(MIN_FINAL_OUTCOME_MARGIN_MS, FINAL_OUTCOME_MARGIN_CYCLES * settings.scheduling_interval_ms)
 
 
 def deduplication_group(event: Event, endpoint: Endpoint) -> GroupId:
-    """Which endpoints recognise a repeat of an event sent here, by what outlasts a process.
+    """Return the group of endpoints that recognise a repeat of an event that was sent to this endpoint.
 
-    Those of its zone, or this one alone where the group of the stream type is not a known one.
+    The group is identified by a value that stays valid across restarts: the zone of its endpoints, or the id
+    of this endpoint alone where the group of the stream type is a single endpoint or unknown.
     """
-    if event.stream_type.deduplication_group in KNOWN_GROUPS:
+    if event.stream_type.deduplication_group in MULTI_ENDPOINT_GROUPS:
         return endpoint.zone
     return endpoint.endpoint_id
 
 
 def is_bound_to_group(event: Event) -> bool:
-    """Whether an event may go only where the attempt that may have run is recognised."""
+    """Return whether an event may be sent only to endpoints that recognise the attempt that may have run."""
     return (
         event.may_have_run_at is not None
         and event.stream_type.effect == Effect.DEDUPLICATED
@@ -38,13 +39,13 @@
     )
 
 
-def may_go_to(event: Event, endpoint: Endpoint) -> bool:
-    """Whether an attempt at this endpoint cannot have an effect twice."""
+def may_be_sent_to(event: Event, endpoint: Endpoint) -> bool:
+    """Return whether an attempt at this endpoint carries no risk of a second effect."""
     return not is_bound_to_group(event) or deduplication_group(event, endpoint) == event.may_have_run_group
 
 
 def is_safe_to_reject(event: Event) -> bool:
-    """Whether a client that hands the event in again can do no harm."""
+    """Return whether a client may resubmit the event without the risk of a second effect."""
     stream_type = event.stream_type
     is_recognised_anywhere = (
         stream_type.effect == Effect.DEDUPLICATED
@@ -54,22 +55,22 @@
 
 
 class RetryRules:
-    """Until when, and how often, an event is attempted."""
+    """Limits the time and the number of attempts of an event."""
 
     def __init__(self, settings: Settings) -> None:
         self.max_attempts = settings.max_attempts
         self.final_outcome_margin_ms = final_outcome_margin_ms(settings)
 
     def give_up_at(self, event: Event) -> float:
-        """When the event is given up at the latest: before its max age, and within its window."""
-        last = event.expires_at - self.final_outcome_margin_ms
+        """Return when the event is given up: before its max age and, after a possible run, its window end."""
+        give_up_at = event.expires_at - self.final_outcome_margin_ms
         if event.may_have_run_at is not None and event.stream_type.effect == Effect.DEDUPLICATED:
             window_ends_at = event.may_have_run_at + event.stream_type.deduplication_window_ms
-            last = min(last, window_ends_at - self.final_outcome_margin_ms)
-        return last
+            give_up_at = min(give_up_at, window_ends_at - self.final_outcome_margin_ms)
+        return give_up_at
 
     def is_exhausted(self, event: Event, now: float) -> bool:
-        """Whether no further attempt may follow."""
+        """Return whether the event must not be attempted again."""
         return (
             now >= self.give_up_at(event)
             or event.attempts >= self.max_attempts
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -1,12 +1,12 @@
-"""Every decision of swiftthread, for one delivery node that sees only its own traffic.
-
-A caller builds one `Router`, hands in events (`add_event`) and what it learns (`apply_endpoint_list`,
-`list_request_failed`, `withdraw`, `record_health_check`), puts the events that may be decided in order
-(`sort_by_urgency`), and makes three calls: `decide` (a `Send`, `Defer`, `Reject` or `Abandon`),
-`record_outcome` (what an outcome means for the event) and `next_check` (when to decide again after a
-`Defer`). `endpoints_due_for_health_check`, `endpoints_to_disconnect`, `should_request_list` and
-`next_wakeup_at` are for once a scheduling cycle. All moments and spans are in milliseconds on the caller's
-clock. The design: docs/design.md.
+"""Makes all routing decisions of one delivery node, which sees only its own traffic.
+
+A caller builds one `Router`, adds events (`add_event`) and reports what it observes (`apply_endpoint_list`,
+`list_request_failed`, `withdraw`, `record_health_check`). It sorts the events that are due for a decision
+(`sort_by_urgency`) and makes three calls for each of them: `decide` (returns a `Send`, `Defer`, `Reject` or
+`Abandon`), `record_outcome` (what the outcome of an attempt means for the event) and `next_check` (when to
+decide again after a `Defer`). `endpoints_due_for_health_check`, `endpoints_to_disconnect`,
+`should_request_list` and `next_wakeup_at` are called once per scheduling cycle. All times and durations are
+in milliseconds on the caller's clock. The design is described in docs/design.md.
 """
 
 from __future__ import annotations
@@ -47,20 +47,20 @@
 from swiftthread.routing.timeouts import AttemptTimeouts
 from swiftthread.routing.urgency import UrgencyRanking
 
-# ms added to a Retry-After, so that a call at its very end is not early by rounding.
+# Added to each Retry-After, so that rounding does not make a call at its end arrive too early.
 RETRY_AFTER_MARGIN_MS = 1.0
 
 
 class Router:
-    """The decisions of one delivery node: owns their parts, and calls them in sequence."""
+    """Makes the decisions of one delivery node; owns the decision modules and calls them in sequence."""
 
     def __init__(self, settings: Settings, seed: int, observer: RoutingObserver | None = None) -> None:
         """Build a router.
 
         Args:
-            settings: What the node is configured with.
-            seed: Of all random draws.
-            observer: Hears of changes of endpoints' states.
+            settings: The configuration of the node.
+            seed: Seed of the generator for all random draws.
+            observer: Is notified of state changes of endpoints; None for no notifications.
         """
         self.stream_types: list[StreamType] = list(settings.stream_types)
         self.jitter = Jitter(seed)
@@ -94,53 +94,56 @@
 
     @property
     def calls_in_flight(self) -> int:
-        """How many calls have not ended."""
+        """The number of calls in flight."""
         return self.slots.in_flight
 
     @property
     def pending_count(self) -> int:
-        """How many events are pending."""
+        """The number of pending events."""
         return self.pending.pending_count
 
     @property
     def endpoints(self) -> dict[str | int, Endpoint]:
-        """The known endpoints by id."""
+        """The known endpoints, by id."""
         return self.endpoint_list.endpoints
 
     @property
     def destinations(self) -> dict[int, Destination]:
-        """The known destinations by number."""
+        """The known destinations, by number."""
         return self.endpoint_list.destinations
 
     # Endpoint lists.
 
     def apply_endpoint_list(self, entries: Iterable[EndpointEntry], is_complete: bool, now: float) -> None:
-        """Take an endpoint list in; one that is not complete says only what changed."""
-        self.list_polling.record_list()
+        """Apply an endpoint list; one that is not complete contains only what changed."""
+        self.list_polling.record_list_received()
         for endpoint in self.endpoint_list.apply(entries, is_complete, now):
             self.health.forget(endpoint)
 
     def list_request_failed(self, now: float) -> float:
-        """Note that a request for the list failed; returns when to make the next."""
+        """Record that a request for the endpoint list failed, and return when to make the next request."""
         return self.list_polling.record_failure(now)
 
     def should_request_list(self, now: float) -> bool:
-        """Whether to request the list now; true once until the next failure."""
-        return self.list_polling.take_request(now)
+        """Return whether to request the endpoint list now: true once, then false until a request fails."""
+        return self.list_polling.start_due_request(now)
 
     def find_destination(self, number: int) -> Destination | None:
-        """The destination of this number, or None while no list has named it."""
+        """Return the destination with this number, or None if it is not known."""
         return self.destinations.get(number)
 
     def has_separate_routes(self, destination: Destination) -> bool:
-        """Whether the endpoints of a destination have limits of their own."""
+        """Return whether each endpoint of a destination is a route with a separate rate limit."""
         return bool(destination.endpoints and destination.endpoints[0].has_separate_route)
 
     def has_joinable_call(self, destination: Destination, now: float) -> bool:
-        """Whether a call of this scheduling cycle takes others with it, though maybe not each event."""
+        """Return whether a call of this scheduling cycle has positions left for further events.
+
+        It may still be closed to some of them (see `AttemptTimeouts.may_share_call`).
+        """
         return any(endpoint.rate_limiter.has_joinable_call(now) for endpoint in destination.endpoints)
 
-    # Pending events: admission, order and turns.
+    # Pending events: admission, urgency and ordering keys.
 
     def add_event(
         self,
@@ -151,18 +154,21 @@
         tenant: int | None = None,
         ordering_key: Hashable = 0,
     ) -> Event:
-        """Hold an event.
+        """Add a pending event.
 
         Args:
-            now: The present moment.
-            stream_type_number: Place of its stream type in the settings.
-            destination_number: The destination as the endpoint list names it.
-            time_left_ms: Until its max age.
-            tenant: Place of its tenant among the quotas; None is none of them.
-            ordering_key: Its ordering key, used where its stream type is ordered; 0 or "" is none.
+            now: The current time.
+            stream_type_number: The index of the event's stream type in the settings.
+            destination_number: The number of its destination in the endpoint list.
+            time_left_ms: The time until the event reaches its max age.
+            tenant: The index of its tenant in the quotas of the settings; None for no known tenant.
+            ordering_key: Its ordering key, used only if its stream type is ordered; 0 or "" for none.
+
+        Returns:
+            The event, which the caller passes to the other methods.
         """
         stream_type = self.stream_types[stream_type_number]
-        destination = self.endpoint_list.destination(destination_number)
+        destination = self.endpoint_list.get_or_add_destination(destination_number)
         expires_at = now + time_left_ms
         event = Event(
             stream_type=stream_type,
@@ -179,69 +185,72 @@
         return event
 
     def withdraw(self, event: Event, now: float) -> None:
-        """Hold an event no longer; an attempt in flight still has its outcome."""
+        """Remove a pending event; the outcome of an attempt in flight must still be recorded."""
         self._release(event)
 
     def sort_by_urgency(self, events: Iterable[Event], now: float) -> list[Event]:
-        """The events, those first that are to be decided first."""
+        """Return the events in the order in which to decide them, the most urgent first."""
         return self.urgency.sort(events, now)
 
     def ranking_horizon_ms(self, destination: Destination, now: float) -> float:
-        """Ms by which the events of a destination are ranked: what its whole queue takes."""
+        """Return the wait in ms by whose cost a destination's events are ranked: that of its whole queue."""
         return self.urgency.horizon_ms(destination, now)
 
     def urgency_rank(self, event: Event, horizon_ms: float, now: float) -> tuple[float, float]:
-        """A sort key: events of lower rank are decided first."""
+        """Return the sort key of an event: events with a lower key are decided first."""
         return self.urgency.rank(event, horizon_ms, now)
 
     def ordering_ready_at(self, event: Event, now: float) -> float:
-        """When its ordering key's turn is this event's: `now`, later, or inf: after those before it."""
+        """Return when an event may be sent as far as its ordering key permits.
+
+        That is `now`, a later time, or inf while another event of the key must finish first.
+        """
         return self.ordering.may_send_at(event, now)
 
     def next_in_order(self, ordering_key: Hashable) -> Event | None:
-        """The event whose turn it is among those of an ordering key; None when none is pending."""
+        """Return the first pending event of an ordering key; None if it has none."""
         return self.ordering.first(ordering_key)
 
     def queue_class(self, event: Event) -> tuple[StreamType, GroupId | None]:
-        """Events of one destination for which this is equal are decided alike until one is sent."""
+        """Return a key: events of a destination with equal keys get the same decision until one is sent."""
         return event.stream_type, event.may_have_run_group if retry_rules.is_bound_to_group(event) else None
 
     def excess_pending(self) -> int:
-        """How many events are pending beyond the capacity."""
+        """Return how many pending events exceed the capacity."""
         return self.pending.excess()
 
     def is_over_capacity(self) -> bool:
-        """Whether more events are pending than the node means to hold."""
+        """Return whether more events are pending than the node has capacity for."""
         return self.pending.is_exceeded()
 
     def all_slots_in_use(self) -> bool:
-        """Whether no call may be made until one ends."""
+        """Return whether no call may be made until one of those in flight finishes."""
         return self.slots.are_all_in_use()
 
     def slots_are_scarce(self) -> bool:
-        """Whether events may wait for a slot that a call of any destination holds."""
+        """Return whether events may have to wait for a slot used by a call to any destination."""
         return self.slots.are_scarce()
 
     def retry_after_ms(self, destination: Destination | None, now: float) -> float:
-        """Ms after which a client had best retry for a destination (None: unknown); 0: no advice."""
+        """Return the Retry-After in ms for events of a destination (None if unknown); 0 for no advice."""
         return self.pending.retry_after_ms(destination, now)
 
     def queue_drain_time_ms(self, destination: Destination, now: float) -> float:
-        """Ms until all events pending for a destination could be sent, at the present rates."""
+        """Return the time in ms in which all pending events of a destination can be sent at current rates."""
         return queue_drain_time_ms(destination, now)
 
     def give_up_at(self, event: Event, now: float) -> float:
-        """When the event is given up at the latest."""
+        """Return when the event is given up at the latest."""
         return self.retry_rules.give_up_at(event)
 
     def is_safe_to_reject(self, event: Event) -> bool:
-        """Whether a client that hands the event in again can do no harm."""
+        """Return whether a client may resubmit the event without the risk of a second effect."""
         return retry_rules.is_safe_to_reject(event)
 
     # Decisions and outcomes.
 
     def decide(self, event: Event, now: float) -> Send | Defer | Reject | Abandon:
-        """What to do with an event now; a `Send` counts as an attempt that is made."""
+        """Decide what to do with an event now; a `Send` counts as an attempt in flight."""
         if self.retry_rules.is_exhausted(event, now) or self._must_shed(event):
             return self._give_up(event, now)
         give_up_at = self.retry_rules.give_up_at(event)
@@ -251,30 +260,32 @@
         selection = self.selector.select(event, now)
         if isinstance(selection, NoneAvailable):
             return self._defer(
-                event, min(give_up_at, selection.until), waits_for_outcome=selection.until == math.inf
+                event,
+                min(give_up_at, selection.next_available_at),
+                waits_for_outcome=selection.next_available_at == math.inf,
             )
         event.check_at = give_up_at
         event.waits_for_outcome = False
         return self._send(event, selection.endpoint, selection.joins_call, now)
 
     def next_check(self, event: Event, now: float) -> NextCheck:
-        """When to decide a deferred event again."""
+        """Return when to decide a deferred event again."""
         return NextCheck(max(now, event.check_at), event.waits_for_outcome)
 
     def send_deadline(self, event: Event, endpoint: Endpoint, now: float) -> float:
-        """The moment by which the last byte of a send must have left; -inf when its first may not any more.
+        """Return the time by which the last byte of a request must be sent; -inf if it must not be started.
 
-        Guards what `decide` weighed against the time until a connection is up.
+        Repeats checks of `decide`, because their results may change while a connection is established.
         """
         if (
             event.is_finished
             or not endpoint.is_ready
             or now < endpoint.rate_limiter.retry_after_until
-            or not retry_rules.may_go_to(event, endpoint)
+            or not retry_rules.may_be_sent_to(event, endpoint)
         ):
             return -math.inf
-        last = self.retry_rules.give_up_at(event)
-        return last if now < last else -math.inf
+        give_up_at = self.retry_rules.give_up_at(event)
+        return give_up_at if now < give_up_at else -math.inf
 
     def record_outcome(
         self,
@@ -286,16 +297,19 @@
         is_finished: bool = False,
         load_report: LoadReport | None = None,
     ) -> Defer | Reject | Abandon | None:
-        """What the outcome of an attempt means for its event; None when the event is over.
+        """Record the outcome of an attempt, and return what it means for the event.
 
         Args:
-            event: The event, of which an attempt is in flight.
-            outcome: How the attempt ended.
-            now: The present moment.
-            latency_ms: From the start of the attempt to its outcome.
-            retry_after_ms: How long the endpoint asked to be left alone; 0 when it did not.
-            is_finished: Whether the event is over with this outcome.
-            load_report: The load report that came with the answer.
+            event: The event, which has an attempt in flight.
+            outcome: The outcome of the attempt.
+            now: The current time.
+            latency_ms: The time from the start of the attempt to its outcome.
+            retry_after_ms: The Retry-After that the endpoint's response named; 0 if it named none.
+            is_finished: Whether the event is finished with this outcome.
+            load_report: The load report of the endpoint's response; None if it had none.
+
+        Returns:
+            The decision on the event; None if the event is finished.
         """
         call, endpoint = event.call, event.endpoint
         assert call is not None and endpoint is not None  # an attempt is in flight
@@ -303,11 +317,11 @@
         event.endpoint = None
         if outcome == SendOutcome.NOT_SENT:
             event.attempts -= 1
-        self._leave_call(call, outcome)
+        self._resolve_in_call(call, outcome)
         if retry_after_ms > 0 and outcome != SendOutcome.NOT_EXECUTED:
-            # Each event of a call may come with a Retry-After of its own.
-            until = now + retry_after_ms + RETRY_AFTER_MARGIN_MS
-            endpoint.rate_limiter.apply_retry_after(until, self.jitter.uniform)
+            # The response to a call may name a separate Retry-After for each of its events.
+            retry_after_until = now + retry_after_ms + RETRY_AFTER_MARGIN_MS
+            endpoint.rate_limiter.apply_retry_after(retry_after_until, self.jitter.uniform)
             self.health.record_retry_after(endpoint, outcome, now, retry_after_ms)
         self.health.record_stream_type(endpoint, event.stream_type, outcome, now)
         if not call.is_recorded:
@@ -322,10 +336,13 @@
         event.waits_for_outcome = False
         return self._give_up(event, now) if self.retry_rules.is_exhausted(event, now) else Defer()
 
-    # Once a scheduling cycle.
+    # Called once per scheduling cycle.
 
     def endpoints_due_for_health_check(self, now: float) -> list[Endpoint]:
-        """Endpoints to send a health check to now: silent ones with events waiting, at the pace of trials."""
+        """Return the endpoints to send a health check to now, each of which counts as being checked.
+
+        They are unresponsive, have pending events, and are checked at the pace of trials.
+        """
         return self.health_checks.start_due_checks(now)
 
     def record_health_check(
@@ -336,21 +353,25 @@
         latency_ms: float,
         load_report: LoadReport | None = None,
     ) -> None:
-        """What a health check tells of its endpoint; its latency and load report are not used."""
+        """Record the outcome of a health check; its latency and load report are not used."""
         if endpoint := self.endpoints.get(endpoint_id):
             self.health_checks.record(endpoint, outcome)
 
     def endpoints_to_disconnect(self, now: float) -> list[Endpoint]:
-        """Endpoints whose idle connections to close now."""
+        """Return the endpoints whose idle connections to close now."""
         return self.idle_connections.take_disconnectable(now)
 
     def next_wakeup_at(self, now: float) -> float:
-        """The next moment after now at which a list request or a health check is due."""
+        """Return the next time after `now` at which a list request or a health check is due."""
         request_at = self.list_polling.next_request_at
         return min(request_at if request_at > now else math.inf, self.health_checks.next_at(now))
 
     def _must_shed(self, event: Event) -> bool:
-        """Whether an event is rejected because the node holds too many, most of them for its destination."""
+        """Return whether to reject an event because the node is over capacity.
+
+        Only events of destinations with more pending events than the average destination are rejected, and
+        only if that is safe.
+        """
         return (
             self.pending.is_exceeded()
             and self.pending.has_long_queue(event.destination)
@@ -381,24 +402,24 @@
 
     def _start_call(self, event: Event, endpoint: Endpoint, now: float) -> Call:
         call = Call(endpoint)
-        travels_alone = endpoint.is_down or not self.timeouts.may_share_call(event, endpoint, now)
-        places = 0 if travels_alone else endpoint.batch_size - 1
-        endpoint.rate_limiter.offer_shared_call(call, now, places)
+        is_exclusive = endpoint.is_down or not self.timeouts.may_share_call(event, endpoint, now)
+        positions_left = 0 if is_exclusive else endpoint.batch_size - 1
+        endpoint.rate_limiter.offer_shared_call(call, now, positions_left)
         self.slots.acquire(endpoint, now)
         return call
 
-    def _leave_call(self, call: Call, outcome: SendOutcome) -> None:
-        """Resolve one event of a call; the call ends with the last of them."""
+    def _resolve_in_call(self, call: Call, outcome: SendOutcome) -> None:
+        """Resolve one event of a call; the call finishes with the last of its events."""
         call.unresolved_count -= 1
         if call.unresolved_count:
             return
         self.slots.release(call.endpoint)
         self.idle_connections.record_call_ended(call.endpoint)
         if outcome in (SendOutcome.NOT_EXECUTED, SendOutcome.NOT_SENT) and not call.is_recorded:
-            call.endpoint.rate_limiter.release_slot()  # nobody was called: its slot is the next one's
+            call.endpoint.rate_limiter.release_slot()  # nothing was executed: the next call may use the slot
 
     def _record_possible_run(self, event: Event, outcome: SendOutcome, now: float) -> None:
-        """Note that an attempt may have had an effect, or may still run."""
+        """Record that an attempt may have had an effect, or may still run."""
         if event.may_have_run_at is None:
             event.may_have_run_at = event.sent_at
             event.may_have_run_group = event.sent_group
--- a/swiftthread/routing/selection.py
+++ b/swiftthread/routing/selection.py
@@ -11,43 +11,45 @@
 from swiftthread.routing.health_checks import HealthChecks
 from swiftthread.routing.rate_limiter import ASSUMED_RATE_PER_MS
 from swiftthread.routing.recovery import RecoveryRamp
-from swiftthread.routing.retry_rules import is_bound_to_group, may_go_to
+from swiftthread.routing.retry_rules import is_bound_to_group, may_be_sent_to
 from swiftthread.routing.timeouts import AttemptTimeouts
 from swiftthread.routing.urgency import UrgencyRanking
 
-# ms after which an event of a destination without endpoints is decided again.
+# An event of a destination without endpoints is decided again after this time.
 NO_ENDPOINT_RETRY_MS = 200.0
-# x silence threshold for an endpoint with one call in flight: that call alone may be slow.
+# Multiplies the time after which an endpoint counts as unresponsive while one call alone is in flight to it,
+# because that call may simply be slow.
 SINGLE_CALL_UNRESPONSIVE_FACTOR = 2
 
 
 @dataclass(slots=True)
 class Selected:
-    """Send to this endpoint now."""
+    """The event may be sent to this endpoint now."""
 
     endpoint: Endpoint
     joins_call: bool
-    """Whether the event travels in a call that was made in this scheduling cycle."""
+    """Whether the event joins a call that was started earlier in this scheduling cycle."""
 
 
 @dataclass(slots=True)
 class NoneAvailable:
-    """No endpoint may get the event now."""
+    """No endpoint is available for the event now."""
 
-    until: float
-    """When one may; inf: after some outcome."""
+    next_available_at: float
+    """When an endpoint becomes available; inf when that depends on the outcome of an attempt."""
 
 
 @dataclass(slots=True)
 class Candidate:
-    """An endpoint that may get the event, and when; inf: after some outcome."""
+    """An endpoint that the event may be sent to."""
 
     endpoint: Endpoint
     available_at: float
+    """When the endpoint may get a call; inf when that depends on the outcome of an attempt."""
 
 
 class EndpointSelector:
-    """Chooses among the endpoints of a destination, in this node's order of them."""
+    """Chooses among the endpoints of a destination, which are in this node's rank order."""
 
     def __init__(
         self,
@@ -64,11 +66,11 @@
         self.urgency = urgency
 
     def select(self, event: Event, now: float) -> Selected | NoneAvailable:
-        """The endpoint for the next attempt of an event, or when there may be one."""
+        """Choose the endpoint for the next attempt of an event, or return when one becomes available."""
         candidates = []
         is_bound = is_bound_to_group(event)
         for endpoint in event.destination.endpoints:
-            if is_bound and not may_go_to(event, endpoint):
+            if is_bound and not may_be_sent_to(event, endpoint):
                 continue
             if endpoint.rate_limiter.has_joinable_call_to(endpoint, now) and self.timeouts.may_share_call(
                 event, endpoint, now
@@ -86,10 +88,10 @@
 
     @staticmethod
     def _without_ejected(candidates: list[Candidate], event: Event, now: float) -> list[Candidate]:
-        """The candidates that did not fail this stream type lately, or all if each of them did.
+        """Return the candidates that did not recently fail the event's stream type, or all if each did.
 
-        Guards a stream type that one endpoint fails while it takes others. Hurts where its failures are
-        chance and the others have less capacity.
+        Protects a stream type that one endpoint fails while it acks others. The cost is lost capacity where
+        the failures were chance and the other endpoints have less capacity.
         """
         stream_type = event.stream_type
         return [
@@ -99,7 +101,7 @@
         ] or candidates
 
     def _available_at(self, endpoint: Endpoint, now: float) -> float:
-        """When this endpoint may get a call: inf means after some outcome."""
+        """Return when this endpoint may get a call; inf when that depends on the outcome of an attempt."""
         limiter = endpoint.rate_limiter
         if endpoint.is_down:
             if (
@@ -112,14 +114,15 @@
             return max(now if is_free_trial else limiter.next_recovery_slot_at, limiter.ready_at())
         if endpoint.calls_in_flight and self._is_unresponsive(endpoint, now):
             return math.inf
-        cold_slot_at = limiter.next_recovery_slot_at if self.recovery.is_warming(endpoint, now) else now
-        return max(limiter.ready_at(), endpoint.retry_at, cold_slot_at)
+        recovery_slot_at = limiter.next_recovery_slot_at if self.recovery.is_warming(endpoint, now) else now
+        return max(limiter.ready_at(), endpoint.retry_at, recovery_slot_at)
 
     @staticmethod
     def _is_unresponsive(endpoint: Endpoint, now: float) -> bool:
-        """Whether calls in flight had no outcome for too long.
+        """Return whether the calls in flight to an endpoint have had no outcome for too long.
 
-        Bookings never learn when calls end: a silent endpoint would take slot after slot.
+        The rate limiter reserves slots without regard to when calls finish, so it would let one call after
+        another go to an unresponsive endpoint.
         """
         factor = 1 if endpoint.calls_in_flight > 1 else SINGLE_CALL_UNRESPONSIVE_FACTOR
         return now - endpoint.last_outcome_at > endpoint.rate_limiter.unresponsive_after_ms() * factor
@@ -127,16 +130,17 @@
     def _select_route(
         self, event: Event, candidates: list[Candidate], now: float
     ) -> Selected | NoneAvailable:
-        """Choose among routes with limits of their own: the one that loses least value, costs counted."""
+        """Choose among routes with separate limits the one with the best value after its carriage cost."""
 
         def benefit(candidate: Candidate) -> tuple[float, float]:
             limiter = candidate.endpoint.rate_limiter
-            start = max(candidate.available_at, now)
+            start_at = max(candidate.available_at, now)
             if candidate.available_at > now and limiter.rate:
-                # All that wait here wait for a better route's slot too: the queue's length says how long.
-                start = start + event.destination.pending_count / limiter.rate
-            value = self.urgency.value_at(event, start + limiter.recent_latency_ms.value)
-            return value - candidate.endpoint.carriage_cost, -start
+                # All pending events of the destination wait for slots of the better route, so the length of
+                # the queue determines how long this event waits.
+                start_at = start_at + event.destination.pending_count / limiter.rate
+            value = self.urgency.value_at(event, start_at + limiter.recent_latency_ms.value)
+            return value - candidate.endpoint.carriage_cost, -start_at
 
         best = max(candidates, key=benefit)
         if best.available_at <= now:
@@ -150,16 +154,16 @@
 
     @staticmethod
     def _select_replica(event: Event, candidates: list[Candidate], now: float) -> Selected | NoneAvailable:
-        """Choose among endpoints that share a limiter: the first in rank that has not enough calls."""
+        """Choose among endpoints that share a limiter the first in rank order that has too few calls."""
         limiter = event.destination.rate_limiter
         assert limiter is not None  # set with the first endpoint
         ready = [candidate.endpoint for candidate in candidates if candidate.available_at <= now]
         if not ready:
-            soonest = min(candidate.available_at for candidate in candidates)
-            if soonest < math.inf:
+            soonest_at = min(candidate.available_at for candidate in candidates)
+            if soonest_at < math.inf:
                 limiter.record_demand(now)
-            return NoneAvailable(soonest)
-        # Of those that are down, the ones that failed least get the trials.
+            return NoneAvailable(soonest_at)
+        # Of the endpoints that are down, those with the fewest consecutive failures get the trials.
         fewest_failures = min(
             (endpoint.consecutive_failures for endpoint in ready if endpoint.is_down), default=0
         )
@@ -168,10 +172,11 @@
             for endpoint in ready
             if not endpoint.is_down or endpoint.consecutive_failures == fewest_failures
         ]
-        # The first in rank has enough with its part of the calls that the limiter keeps busy.
+        # An endpoint has enough calls with an equal share of those that the limiter's rate keeps in flight at
+        # its recent latency.
         rate = limiter.rate or ASSUMED_RATE_PER_MS
-        enough = max(1.0, rate * limiter.recent_latency_ms.value / len(event.destination.endpoints))
+        target_calls = max(1.0, rate * limiter.recent_latency_ms.value / len(event.destination.endpoints))
         for endpoint in ready:
-            if endpoint.calls_in_flight < enough:
+            if endpoint.calls_in_flight < target_calls:
                 return Selected(endpoint, joins_call=False)
         return Selected(min(ready, key=lambda endpoint: endpoint.calls_in_flight), joins_call=False)
--- a/tests/routing/test_long_day.py
+++ b/tests/routing/test_long_day.py
@@ -1,4 +1,4 @@
-"""What the tables of the node hold after a long day."""
+"""Sizes of the node's tables after long operation."""
 
 import socket
 
@@ -14,44 +14,50 @@
 from swiftthread.storage.write_ahead_log import WriteAheadLog
 
 
-def test_tables_empty_as_endpoints_ordering_keys_and_ids_come_and_go(tmp_path):
-    """A long day: endpoints under ever-new ids at one address, ever-new ordering keys, events and keys."""
-    anyio.run(_a_long_day, tmp_path)
+def test_tables_stay_small_while_endpoint_ids_ordering_keys_and_events_change(tmp_path):
+    """Guards against tables that grow without limit.
 
+    Every step adds an endpoint under a new id at the same address, and an event with a new id, ordering key
+    and idempotency key.
+    """
+    anyio.run(_run_long_day, tmp_path)
 
-async def _a_long_day(folder):
+
+async def _run_long_day(folder):
     run = SimulatedNode([], stream_types=[IDEMPOTENT._replace(is_ordered=True)], warm_up_ms=500.0)
     router, discovery = run.session.router, DiscoveryClient(("127.0.0.1", 1), None, {}, {}, 0.0, 0.0)
-    log, lines = (
+    log, connections = (
         WriteAheadLog(str(folder), 3_000_000, lambda: run.now),
         ConnectionPool(lambda: run.now, 1000.0, 50),
     )
     listener = socket.create_server(("127.0.0.1", 0))
     for number in range(300):
-        row = {
+        added = {
             "id": f"s-{number}",
             "addr": f"127.0.0.1:{listener.getsockname()[1]}",
             "cell": 0,
             "state": "SERVING",
         }
-        gone = {"id": f"s-{number - 1}", "addr": row["addr"], "cell": 0, "state": "DELETED"}
+        removed = {"id": f"s-{number - 1}", "addr": added["addr"], "cell": 0, "state": "DELETED"}
         run.schedule(
             200.0 * number,
             run.apply_endpoint_list,
-            *discovery.parse_list({"version": number, "full": False, "servers": [row, gone]}),
+            *discovery.parse_list({"version": number, "full": False, "servers": [added, removed]}),
         )
         run.schedule(200.0 * number, lambda ticket=number: run.submit(ticket, ordering_key=ticket + 1))
         run.run_until(200.0 * number + 199.0)
-        held = PendingEvent(f"evt-{number}", f"key-{number}", "notice", 0, run.now + 5000.0, 0, 0, b"body")
+        pending = PendingEvent(f"evt-{number}", f"key-{number}", "notice", 0, run.now + 5000.0, 0, 0, b"body")
         assert (
-            log.matches_known_event(held) is None and log.append_accepted(held) and log.append_sent(held, 0)
+            log.matches_known_event(pending) is None
+            and log.append_accepted(pending)
+            and log.append_sent(pending, 0)
         )
-        log.append_ended(held)
-        assert log.matches_known_event(held)
-        line = Connection(socket.create_connection(listener.getsockname()), BufferPool(), None)
+        log.append_ended(pending)
+        assert log.matches_known_event(pending)
+        connection = Connection(socket.create_connection(listener.getsockname()), BufferPool(), None)
         listener.accept()[0].close()
-        lines.release((row["id"], discovery.addresses[row["id"]]), line)
-    lines.close_all()
+        connections.release((added["id"], discovery.addresses[added["id"]]), connection)
+    connections.close_all()
     sizes = {
         "endpoints": len(router.endpoints),
         "down endpoints": len(router.health.down_endpoints),
@@ -59,15 +65,15 @@
         "destinations": len(router.destinations),
         "events": len(run.session.pending),
         "addresses": len(discovery.addresses),
-        "held": len(log.pending),
-        "over": len(log.recently_ended),
-        "idle": len(lines.idle),
+        "logged events": len(log.pending),
+        "recently ended events": len(log.recently_ended),
+        "idle connections": len(connections.idle),
     }
     log.close(), listener.close()
     assert len(run.lines) >= 600 and sizes["addresses"] == sizes["destinations"] == 1
     assert (
         sizes["endpoints"] < 10
         and sizes["ordering keys"] < 10
-        and sizes["over"] < 20
+        and sizes["recently ended events"] < 20
         and sum(sizes.values()) < 40
     ), sizes
--- a/tests/routing/test_ordering_keys.py
+++ b/tests/routing/test_ordering_keys.py
@@ -1,4 +1,4 @@
-"""Turns of events that share an ordering key."""
+"""Order of events that share an ordering key."""
 
 from support.event_bursts import burst
 from support.simulated_node import SimulatedNode
@@ -7,7 +7,7 @@
 from swiftthread.routing.messages import SendOutcome
 
 
-def test_events_of_an_ordering_key_go_one_at_a_time_and_rest_after_a_time_out():
+def test_events_of_an_ordering_key_are_sent_one_at_a_time_with_a_pause_after_a_timeout():
     def answers(ticket, endpoint, now):
         return None if now < 100.0 else (300.0, SendOutcome.ACKED)
 
@@ -21,10 +21,10 @@
     burst(run, (4,), 20.0, ordering_key=8).run_until(9000.0).assert_matches_trace("ordering_key")
 
 
-def test_order_waits_for_the_send_of_a_withdrawn_event():
+def test_next_event_of_a_key_waits_for_the_attempt_of_a_withdrawn_event():
     run = SimulatedNode(
         [(1, 0, 0, 0, 50.0, True)],
-        lambda t, s, n: (800.0, SendOutcome.ACKED),
+        lambda ticket, endpoint, now: (800.0, SendOutcome.ACKED),
         stream_types=[IDEMPOTENT._replace(is_ordered=True)],
     )
     burst(run, (1, 2), ordering_key=9)
--- a/tests/routing/test_retry_rules.py
+++ b/tests/routing/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""What may follow an attempt, and when an event is given up."""
+"""Retries after an attempt that may have run, and the time at which an event is given up."""
 
 import pytest
 from support.event_bursts import ONE, TWO, burst
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, stream, endpoints",
+    "trace, stream, endpoints",
     [
         ("may_have_run_idempotent", IDEMPOTENT, ONE),
         ("may_have_run_non_idempotent", NON_IDEMPOTENT, ONE),
@@ -17,16 +17,16 @@
         ("may_have_run_anywhere", DEDUPLICATED, TWO),
     ],
 )
-def test_what_follows_a_send_that_may_have_run(name, stream, endpoints):
+def test_retry_after_a_reset_depends_on_the_effect_and_the_deduplication_group(trace, stream, endpoints):
     def answers(ticket, endpoint, now):
         return (50.0, SendOutcome.RESET) if now < 1000.0 else (50.0, SendOutcome.ACKED)
 
     burst(SimulatedNode(endpoints, answers, stream_types=[stream]), (1,)).run_until(
         20000.0
-    ).assert_matches_trace(name)
+    ).assert_matches_trace(trace)
 
 
-def test_the_window_ends_a_deduplicated_event_that_may_have_run():
+def test_deduplicated_event_that_may_have_run_is_given_up_before_its_window_ends():
     def answers(ticket, endpoint, now):
         return (50.0, SendOutcome.FAILED) if now < 100.0 else (50.0, SendOutcome.RATE_LIMITED, 9000.0)
 
@@ -36,7 +36,7 @@
     )
 
 
-def test_a_pending_event_is_answered_before_its_max_age():
+def test_pending_event_is_given_up_before_its_max_age():
     run = SimulatedNode(
         [(1, 0, 0, 0, 1.0, True)],
         may_send_retry_after=True,
--- a/tests/routing/test_send_deadline.py
+++ b/tests/routing/test_send_deadline.py
@@ -1,4 +1,4 @@
-"""By when a send must have left: window, group, expiry, Retry-After, draining."""
+"""The send deadline: deduplication window and group, max age, Retry-After and draining."""
 
 import math
 
@@ -12,19 +12,21 @@
 ENTRIES = [("a", 0, 0, 0, 0.0, True), ("b", 0, 1, 0, 0.0, True), ("c", 0, 0, 0, 0.0, True)]
 
 
-def maybe_ran(stream, endpoint="a"):
-    """A run at 1,000 ms, and an event of it whose first send, at 0 ms to this endpoint, may have run."""
-    run = SimulatedNode([row for row in ENTRIES if row[0] == endpoint], stream_types=[stream]).run_until(0.0)
-    node = run.session.router
-    event = node.add_event(0.0, 0, 0, stream.max_age_ms)
-    assert node.decide(event, 0.0).endpoint.endpoint_id == endpoint
-    node.record_outcome(event, SendOutcome.RESET, 1000.0, 1000.0)
-    node.apply_endpoint_list(ENTRIES, True, 1000.0)
-    return node, event
+def router_with_possible_run(stream, endpoint="a"):
+    """Return a router at 1,000 ms, and an event whose attempt at 0 ms, to this endpoint, may have run."""
+    run = SimulatedNode(
+        [entry for entry in ENTRIES if entry[0] == endpoint], stream_types=[stream]
+    ).run_until(0.0)
+    router = run.session.router
+    event = router.add_event(0.0, 0, 0, stream.max_age_ms)
+    assert router.decide(event, 0.0).endpoint.endpoint_id == endpoint
+    router.record_outcome(event, SendOutcome.RESET, 1000.0, 1000.0)
+    router.apply_endpoint_list(ENTRIES, True, 1000.0)
+    return router, event
 
 
 @pytest.mark.parametrize(
-    "stream, endpoint, by",
+    "stream, endpoint, deadline",
     [
         (DEDUPLICATED, "a", 5988.0),
         (DEDUPLICATED, "b", 5988.0),
@@ -37,34 +39,41 @@
         (ZONAL._replace(deduplication_window_ms=900.0), "a", -math.inf),
     ],
 )
-def test_a_send_after_one_that_may_have_run_leaves_inside_its_window_and_group(stream, endpoint, by):
-    node, event = maybe_ran(stream)
-    assert node.send_deadline(event, node.endpoints[endpoint], 1000.0) == by
-    assert node.send_deadline(event, node.endpoints[endpoint], by if by > 0 else 5900.0) == -math.inf
+def test_deadline_after_a_possible_run_respects_the_deduplication_window_and_group(
+    stream, endpoint, deadline
+):
+    router, event = router_with_possible_run(stream)
+    assert router.send_deadline(event, router.endpoints[endpoint], 1000.0) == deadline
+    assert (
+        router.send_deadline(event, router.endpoints[endpoint], deadline if deadline > 0 else 5900.0)
+        == -math.inf
+    )
 
 
-def test_a_send_leaves_neither_into_a_wait_nor_a_drain_nor_past_the_end_of_its_event():
+def test_no_send_is_allowed_during_a_retry_after_or_to_a_draining_endpoint_or_for_a_withdrawn_event():
     run = SimulatedNode(ENTRIES, stream_types=[NON_IDEMPOTENT]).run_until(0.0)
-    node = run.session.router
-    event, endpoint = node.add_event(0.0, 0, 0, 4000.0), node.endpoints["a"]
-    assert node.send_deadline(event, endpoint, 10.0) == 3988.0
-    endpoint.rate_limiter.apply_retry_after(500.0, node.random_uniform)
+    router = run.session.router
+    event, endpoint = router.add_event(0.0, 0, 0, 4000.0), router.endpoints["a"]
+    assert router.send_deadline(event, endpoint, 10.0) == 3988.0
+    endpoint.rate_limiter.apply_retry_after(500.0, router.random_uniform)
     assert (
-        node.send_deadline(event, endpoint, 499.0) == -math.inf < node.send_deadline(event, endpoint, 500.0)
+        router.send_deadline(event, endpoint, 499.0)
+        == -math.inf
+        < router.send_deadline(event, endpoint, 500.0)
     )
-    node.apply_endpoint_list([("a", 0, 0, 0, 0.0, False)], False, 600.0)
+    router.apply_endpoint_list([("a", 0, 0, 0, 0.0, False)], False, 600.0)
     assert (
-        node.send_deadline(event, endpoint, 600.0)
+        router.send_deadline(event, endpoint, 600.0)
         == -math.inf
-        < node.send_deadline(event, node.endpoints["b"], 600.0)
+        < router.send_deadline(event, router.endpoints["b"], 600.0)
     )
-    node.withdraw(event, 700.0)
-    assert node.send_deadline(event, node.endpoints["b"], 700.0) == -math.inf
+    router.withdraw(event, 700.0)
+    assert router.send_deadline(event, router.endpoints["b"], 700.0) == -math.inf
 
 
-def test_an_endpoint_that_comes_back_elsewhere_is_of_its_new_group():
-    node, event = maybe_ran(ZONAL)
-    node.apply_endpoint_list(
+def test_endpoint_listed_again_in_another_zone_belongs_to_the_group_of_that_zone():
+    router, event = router_with_possible_run(ZONAL)
+    router.apply_endpoint_list(
         [("a", 0, 1, 0, 0.0, True), ("b", 0, 0, 0, 0.0, True), ("c", 0, 1, 0, 0.0, True)], True, 1100.0
     )
-    assert node.decide(event, 1100.0).endpoint.endpoint_id == "b"
+    assert router.decide(event, 1100.0).endpoint.endpoint_id == "b"
--- a/tests/routing/test_send_deadline_batch.py
+++ b/tests/routing/test_send_deadline_batch.py
@@ -1,4 +1,4 @@
-"""Events with different deadlines in one call."""
+"""Calls of several events with different deadlines."""
 
 import pytest
 from support.simulated_node import SimulatedNode
@@ -6,33 +6,39 @@
 from swiftthread.routing.messages import SendOutcome
 
 
-def test_what_travels_in_a_call_is_learnt_though_another_of_it_never_left():
+def test_outcome_of_a_call_is_recorded_although_another_of_its_events_was_not_sent():
     run = SimulatedNode([("a", 0, 0, 0, 4.0, True)], batch_size_by_kind=[5]).run_until(0.0)
-    node = run.session.router
-    one, two = [node.add_event(0.0, 0, 0, 9000.0) for _ in range(2)]
-    assert node.decide(one, 0.0).endpoint is node.decide(two, 0.0).endpoint and one.call is two.call
-    due = node.endpoints["a"].rate_limiter.next_slot_at
-    node.record_outcome(one, SendOutcome.NOT_SENT, 10.0, 10.0)
-    node.record_outcome(two, SendOutcome.ACKED, 50.0, 50.0)
+    router = run.session.router
+    not_sent, acked = [router.add_event(0.0, 0, 0, 9000.0) for _ in range(2)]
     assert (
-        node.endpoints["a"].acked_at == 50.0
-        and node.endpoints["a"].rate_limiter.next_slot_at == due
-        and one.attempts == 0
+        router.decide(not_sent, 0.0).endpoint is router.decide(acked, 0.0).endpoint
+        and not_sent.call is acked.call
+    )
+    next_slot_at = router.endpoints["a"].rate_limiter.next_slot_at
+    router.record_outcome(not_sent, SendOutcome.NOT_SENT, 10.0, 10.0)
+    router.record_outcome(acked, SendOutcome.ACKED, 50.0, 50.0)
+    assert (
+        router.endpoints["a"].acked_at == 50.0
+        and router.endpoints["a"].rate_limiter.next_slot_at == next_slot_at
+        and not_sent.attempts == 0
     )
 
 
-@pytest.mark.parametrize("left, first, second", [(600.0, "a", None), (1500.0, "a", "a")])
-def test_an_event_with_less_time_than_a_slow_answer_takes_travels_alone(left, first, second):
+@pytest.mark.parametrize("time_left_ms, first, second", [(600.0, "a", None), (1500.0, "a", "a")])
+def test_event_shares_a_call_only_with_more_time_left_than_a_slow_response_takes(time_left_ms, first, second):
     run = SimulatedNode([("a", 0, 0, 0, 4.0, True)], batch_size_by_kind=[5]).run_until(0.0)
-    node = run.session.router
+    router = run.session.router
     for short_first in (True, False):
-        node.endpoints["a"].rate_limiter.next_slot_at = 0.0
+        router.endpoints["a"].rate_limiter.next_slot_at = 0.0
         events = [
-            node.add_event(0.0, 0, 0, left if short_first == number else 9000.0) for number in (True, False)
+            router.add_event(0.0, 0, 0, time_left_ms if short_first == is_first else 9000.0)
+            for is_first in (True, False)
         ]
-        answers = [node.decide(event, 0.0) for event in events]
-        assert [getattr(getattr(answer, "endpoint", None), "endpoint_id", None) for answer in answers] == [
+        decisions = [router.decide(event, 0.0) for event in events]
+        assert [
+            getattr(getattr(decision, "endpoint", None), "endpoint_id", None) for decision in decisions
+        ] == [
             first,
             second,
         ]
-        node.endpoints["a"].rate_limiter.shared_call = None
+        router.endpoints["a"].rate_limiter.shared_call = None
