--- a/swiftthread/configuration/node_config.py
+++ b/swiftthread/configuration/node_config.py
@@ -54,7 +54,7 @@
     """Names of the load report's fields."""
     settings_warnings: Sequence[str]
     """A line for each part of the settings that was read the cautious way."""
-    start_only_parts: Mapping[str, Any]
+    start_only_values: Mapping[str, Any]
     """The document's values of `START_ONLY_KEYS`."""
 
 
@@ -99,7 +99,7 @@
         names=names,
         report_fields=report_fields,
         settings_warnings=settings_warnings,
-        start_only_parts={key: document.get(key) for key in START_ONLY_KEYS},
+        start_only_values={key: document.get(key) for key in START_ONLY_KEYS},
     )
 
 
--- a/swiftthread/service/delivery.py
+++ b/swiftthread/service/delivery.py
@@ -83,8 +83,8 @@
         )
         pending.event = event
         event.attempts = pending.attempts
-        if pending.may_have_run is not None:
-            sent_at, group = pending.may_have_run
+        if pending.possible_execution is not None:
+            sent_at, group = pending.possible_execution
             # After another boot the clock may be behind: an attempt is never ahead of us.
             event.may_have_run_at = now - max(0.0, log_now - sent_at)
             event.may_have_run_group = group
@@ -113,7 +113,7 @@
             pending.stream_type,
         )
         # What surely never ran may be submitted again.
-        outcome = FinalOutcome.ABANDONED if pending.may_have_run else FinalOutcome.REJECTED
+        outcome = FinalOutcome.ABANDONED if pending.possible_execution else FinalOutcome.REJECTED
         self._tasks.start_soon(self._notify, pending, Decision(outcome, 0.0))
 
     async def _run(self, pending: PendingEvent, event: Event) -> None:
--- a/swiftthread/service/reload.py
+++ b/swiftthread/service/reload.py
@@ -21,10 +21,10 @@
     except ConfigurationError as error:
         logger.error("the new configuration is not used: {}", error)
         return config
-    for key, value in fresh.start_only_parts.items():
-        if value != config.start_only_parts[key]:
+    for key, value in fresh.start_only_values.items():
+        if value != config.start_only_values[key]:
             logger.warning("the new configuration's {} counts from the next start on", key)
     logger.info("the configuration is read again; discovery is at {}:{}", *fresh.discovery)
     discovery.change_address(fresh.discovery)
     notifier.change_address(fresh.discovery)
-    return dataclasses.replace(fresh, start_only_parts=config.start_only_parts)
+    return dataclasses.replace(fresh, start_only_values=config.start_only_values)
--- a/swiftthread/service/startup.py
+++ b/swiftthread/service/startup.py
@@ -41,7 +41,7 @@
     )
     clock = LogClock(config.state_directory)
     with contextlib.closing(WriteAheadLog(config.state_directory, limits.disk_bytes, clock.now_ms)) as log:
-        if clock.is_new_boot:
+        if clock.was_set_from_wall_clock:
             clock.advance_to(log.latest_send_at())
             clock.store()
         for warning in config.settings_warnings:
--- a/swiftthread/storage/event_records.py
+++ b/swiftthread/storage/event_records.py
@@ -6,7 +6,7 @@
 
 from swiftthread.storage.decision import Decision
 from swiftthread.storage.pending_event import PendingEvent, PossibleExecution
-from swiftthread.storage.records import ACCEPTED, DECIDED, ENDED, NEVER_RAN, SENT, STATE, record
+from swiftthread.storage.records import ACCEPTED, DECIDED, ENDED, NEVER_RAN, SENT, STATE, encode_record
 
 FIELDS_LENGTH = struct.Struct("<I")  # bytes of the JSON fields of a taken record; the body follows them
 
@@ -24,7 +24,7 @@
             pending.ordering_key,
         ]
     ).encode()
-    return record(ACCEPTED, FIELDS_LENGTH.pack(len(fields)) + fields + pending.body)
+    return encode_record(ACCEPTED, FIELDS_LENGTH.pack(len(fields)) + fields + pending.body)
 
 
 def parse_accepted(payload: bytes) -> PendingEvent:
@@ -51,9 +51,9 @@
     )
 
 
-def state_record(event_id: str, attempts: int, may_have_run: PossibleExecution | None) -> bytes:
+def state_record(event_id: str, attempts: int, possible_execution: PossibleExecution | None) -> bytes:
     """What a rewritten file keeps of the sends that came before."""
-    return _json_record(STATE, event_id, attempts, may_have_run)
+    return _json_record(STATE, event_id, attempts, possible_execution)
 
 
 def sent_record(event_id: str, send: PossibleExecution) -> bytes:
@@ -84,10 +84,10 @@
 def snapshot(pending: PendingEvent) -> bytes:
     """The records that say all that is known of an event, in a rewritten file."""
     parts = [accepted_record(pending)]
-    if pending.attempts or pending.may_have_run:
+    if pending.attempts or pending.possible_execution:
         # A send in flight has a record of its own, because it may still turn out that it never ran.
         earlier_attempts = pending.attempts - 1 if pending.send_in_flight else pending.attempts
-        parts.append(state_record(pending.event_id, earlier_attempts, pending.may_have_run))
+        parts.append(state_record(pending.event_id, earlier_attempts, pending.possible_execution))
     if pending.send_in_flight:
         parts.append(sent_record(pending.event_id, pending.send_in_flight))
     if pending.decision:
@@ -96,4 +96,4 @@
 
 
 def _json_record(kind: bytes, *fields: Any) -> bytes:
-    return record(kind, json.dumps(fields).encode())
+    return encode_record(kind, json.dumps(fields).encode())
--- a/swiftthread/storage/log_clock.py
+++ b/swiftthread/storage/log_clock.py
@@ -49,7 +49,8 @@
     """Gives the present moment in ms; call `now_ms`.
 
     Attributes:
-        is_new_boot: Whether the wall clock set it: what is stored may lie ahead of it, see `advance_to`.
+        was_set_from_wall_clock: Whether no valid epoch was stored, so that the wall clock set this clock.
+            Times stored in the log may then be ahead of it; see `advance_to`.
     """
 
     def __init__(
@@ -73,8 +74,8 @@
         self._boot_id = read_boot_id() if boot_id is None else boot_id
         stored = self._read()
         now = monotonic()
-        self.is_new_boot = stored is None or not stored.holds(self._boot_id, now)
-        if stored is not None and not self.is_new_boot:
+        self.was_set_from_wall_clock = stored is None or not stored.holds(self._boot_id, now)
+        if stored is not None and not self.was_set_from_wall_clock:
             self._offset_ms = stored.offset_ms
             return
         self._offset_ms = wall_clock() - now
--- a/swiftthread/storage/pending_event.py
+++ b/swiftthread/storage/pending_event.py
@@ -41,7 +41,7 @@
         body: The event's body.
         attempts: Sends so far, those that never ran included.
         send_in_flight: The send that has no result yet.
-        may_have_run: The earliest earlier send that may have executed the event; None if there is none.
+        possible_execution: The earliest earlier send that may have executed the event; None if there is none.
         decision: The final answer, once there is one.
         event: The same event in the router; set by the node, not stored.
         reserved_bytes: Bytes of the log that its records may need at most.
@@ -59,7 +59,7 @@
     body: bytes
     attempts: int = field(init=False, default=0)
     send_in_flight: PossibleExecution | None = field(init=False, default=None)
-    may_have_run: PossibleExecution | None = field(init=False, default=None)
+    possible_execution: PossibleExecution | None = field(init=False, default=None)
     decision: Decision | None = field(init=False, default=None)
     event: Any = field(init=False, default=None)
     reserved_bytes: int = field(init=False, default=0)
@@ -74,7 +74,7 @@
 
     def note_lost_result(self) -> None:
         """Note that the send in flight, if there is one, may have executed the event."""
-        self.may_have_run = self.may_have_run or self.send_in_flight
+        self.possible_execution = self.possible_execution or self.send_in_flight
 
     def fingerprint(self) -> str:
         """Digest of what two submissions under one id share if they are the same: all but the expiry."""
--- a/swiftthread/storage/records.py
+++ b/swiftthread/storage/records.py
@@ -54,14 +54,14 @@
     payload: bytes = b""
 
 
-def record(kind: bytes, payload: bytes) -> bytes:
+def encode_record(kind: bytes, payload: bytes) -> bytes:
     """Frame a payload as one log record, with its checksum, length and kind."""
     length_and_kind = LENGTH_AND_KIND.pack(len(payload), kind)
     checksum = zlib.crc32(payload, zlib.crc32(length_and_kind))
     return CHECKSUM.pack(checksum) + length_and_kind + payload
 
 
-def records(data: bytes) -> Iterator[Record | Gap]:
+def scan_records(data: bytes) -> Iterator[Record | Gap]:
     """Each whole record of a file's contents, and the gaps between them."""
     search_from = 0
     read_up_to = 0
--- a/swiftthread/storage/replay.py
+++ b/swiftthread/storage/replay.py
@@ -25,7 +25,7 @@
     Gap,
     Record,
     is_torn,
-    records,
+    scan_records,
 )
 
 MALFORMED_PAYLOAD = (ValueError, TypeError, struct.error)
@@ -55,7 +55,7 @@
 
     def run(self, data: bytes) -> None:
         """Apply every record of the log's contents."""
-        for part in records(data):
+        for part in scan_records(data):
             if isinstance(part, Gap):
                 self._skip_gap(part, data)
                 continue
@@ -76,7 +76,7 @@
         """A send of any event taken before, or the end of one, may have been noted here."""
         self.unreadable_ranges.append(ByteRange(begin, end))
         for pending in self._table.events.values():
-            pending.may_have_run = UNKNOWN_EXECUTION
+            pending.possible_execution = UNKNOWN_EXECUTION
 
     def _apply(self, record: Record) -> None:
         if record.kind == ACCEPTED or record.kind in IN_PLACE_OUTCOMES:
@@ -109,8 +109,8 @@
 
 def _apply_state(pending: PendingEvent, fields: list[Any]) -> None:
     attempts = fields[0]
-    may_have_run = fields[1]
-    pending.may_have_run = PossibleExecution._make(may_have_run) if may_have_run else None
+    possible_execution = fields[1]
+    pending.possible_execution = PossibleExecution._make(possible_execution) if possible_execution else None
     pending.attempts = attempts
 
 
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -101,7 +101,7 @@
         sends = [
             send.at
             for pending in self.pending.values()
-            for send in (pending.send_in_flight, pending.may_have_run)
+            for send in (pending.send_in_flight, pending.possible_execution)
             if send is not None
         ]
         return max(sends, default=0.0)
--- a/tests/configuration/test_node_config.py
+++ b/tests/configuration/test_node_config.py
@@ -49,7 +49,7 @@
     assert config.names.stream_type_numbers == {"notice": 0} and config.names.tenant_numbers == {"retail": 0}
     assert config.names.kind_numbers == {"plain": 0, "batch": 1} and config.names.zone_numbers == {"east": 0}
     assert config.report_fields == ["x0", "x1"] and config.settings_warnings == []
-    assert config.start_only_parts["listen"] == "127.0.0.1:9000"
+    assert config.start_only_values["listen"] == "127.0.0.1:9000"
 
 
 def test_the_environment_wins_at_a_start_and_for_discovery_not_at_a_reload(write_config):
--- a/tests/node/test_node_recovery.py
+++ b/tests/node/test_node_recovery.py
@@ -7,7 +7,7 @@
 from support.fake_servers import FakeEndpoint
 from support.node_process import NodeProcess, wait_until
 
-from swiftthread.storage.records import record
+from swiftthread.storage.records import encode_record
 
 
 def test_sigkill_loses_nothing_and_repeats_no_attempt_that_may_have_run(tmp_path):
@@ -21,7 +21,7 @@
         out = set(endpoint.event_ids())
         assert node.stop(signal.SIGKILL) == -9
         with open(node.log_path(), "ab") as torn:
-            torn.write(record(b"O", b'["evt-2", half a record]')[:-9])
+            torn.write(encode_record(b"O", b'["evt-2", half a record]')[:-9])
         endpoint.script[:], endpoint.calls[:] = [200], []
         node.discovery.refusing = 3
         node.start()
--- a/tests/server/test_request_deadlines.py
+++ b/tests/server/test_request_deadlines.py
@@ -9,7 +9,7 @@
 from support.fake_servers import FakeEndpoint
 from support.node_process import NodeProcess, wait_until
 
-from swiftthread.storage.records import ACCEPTED, records
+from swiftthread.storage.records import ACCEPTED, scan_records
 
 
 @pytest.mark.parametrize("is_accepted", [False, True])
@@ -46,7 +46,7 @@
             assert client.recv(99).startswith(b"HTTP/1.1 202")
         row = next(
             json.loads(payload[4 : 4 + struct.unpack_from("<I", payload)[0]])
-            for _, _, kind, payload in records(node.log_path().read_bytes())
+            for _, _, kind, payload in scan_records(node.log_path().read_bytes())
             if kind == ACCEPTED and b"evt-2" in payload
         )
         assert came_at * 1000.0 + 3900.0 < row[4] < came_at * 1000.0 + 4100.0
--- a/tests/storage/test_duplicate_submissions.py
+++ b/tests/storage/test_duplicate_submissions.py
@@ -9,7 +9,7 @@
 
 from swiftthread.storage.log_file import FILE_NAME
 from swiftthread.storage.recently_ended import RETENTION_MS
-from swiftthread.storage.records import ENDED, record
+from swiftthread.storage.records import ENDED, encode_record
 
 
 def test_an_event_submitted_again_after_a_kill_is_no_second_event(tmp_path):
@@ -71,7 +71,7 @@
 
 
 def test_a_log_without_fingerprints_still_knows_its_ids(tmp_path):
-    (tmp_path / FILE_NAME).write_bytes(record(ENDED, b'["evt-1"]'))
+    (tmp_path / FILE_NAME).write_bytes(encode_record(ENDED, b'["evt-1"]'))
     with open_log(tmp_path) as log:
         assert log.matches_known_event(pending_event()) is True
         assert not log.unreadable_ranges
--- a/tests/storage/test_full_disk.py
+++ b/tests/storage/test_full_disk.py
@@ -89,7 +89,7 @@
     assert log.append_sent(events[1], 1)
     log.close()
     with open_log(tmp_path) as log:
-        sends = {event_id: event.may_have_run for event_id, event in log.pending.items()}
+        sends = {event_id: event.possible_execution for event_id, event in log.pending.items()}
         assert sends == {"evt-0": None, "evt-1": (NOW, 1)}
         assert not log.torn_bytes
         assert not log.unreadable_ranges
--- a/tests/storage/test_log_clock.py
+++ b/tests/storage/test_log_clock.py
@@ -18,7 +18,7 @@
 def test_on_the_same_boot_a_restart_goes_on_whatever_the_wall_clock_says(tmp_path, step):
     assert start(tmp_path, 1000.0, WALL).now_ms() == WALL
     restarted = start(tmp_path, 3500.0, WALL + 2500.0 + step)
-    assert restarted.now_ms() == WALL + 2500.0 and not restarted.is_new_boot
+    assert restarted.now_ms() == WALL + 2500.0 and not restarted.was_set_from_wall_clock
 
 
 @pytest.mark.parametrize("wall, now", [(WALL + 60_000.0, WALL + 60_000.0), (WALL - 60_000.0, WALL)])
@@ -28,7 +28,7 @@
 ):
     start(tmp_path, 1000.0, WALL)
     restarted = start(tmp_path, monotonic, wall, boot_id)
-    assert restarted.now_ms() == now and restarted.is_new_boot
+    assert restarted.now_ms() == now and restarted.was_set_from_wall_clock
 
 
 def test_a_moment_of_the_log_puts_the_clock_forward_alone(tmp_path):
@@ -43,8 +43,8 @@
 def test_an_epoch_that_cannot_be_read_is_none(tmp_path, text):
     (tmp_path / FILE_NAME).write_text(text, encoding="latin-1")
     clock = start(tmp_path, 1000.0, WALL)
-    assert clock.is_new_boot and clock.now_ms() == WALL
-    assert not start(tmp_path, 1001.0, 0.0).is_new_boot
+    assert clock.was_set_from_wall_clock and clock.now_ms() == WALL
+    assert not start(tmp_path, 1001.0, 0.0).was_set_from_wall_clock
 
 
 def test_a_folder_that_takes_nothing_leaves_the_clock_as_it_is(tmp_path):
--- a/tests/storage/test_log_recovery.py
+++ b/tests/storage/test_log_recovery.py
@@ -8,7 +8,7 @@
 
 from swiftthread.storage.log_file import FILE_NAME
 from swiftthread.storage.pending_event import UNKNOWN_EXECUTION
-from swiftthread.storage.records import DECIDED, ENDED, SENT, record
+from swiftthread.storage.records import DECIDED, ENDED, SENT, encode_record
 
 FIRST_SEND = (NOW, 1)
 
@@ -36,7 +36,7 @@
 def possible_executions(log):
     """Id -> the send that may have run, of each pending event; the log is closed."""
     log.close()
-    return {event_id: event.may_have_run for event_id, event in log.pending.items()}
+    return {event_id: event.possible_execution for event_id, event in log.pending.items()}
 
 
 def replace_log(folder, data):
@@ -71,7 +71,7 @@
         if number == 5 and not log.unreadable_ranges:
             # Its length is damaged: it cannot be told from a record torn at the end.
             assert log.torn_bytes == offsets[-1] - offsets[5]
-            assert log.pending["evt-2"].may_have_run
+            assert log.pending["evt-2"].possible_execution
             log.close()
             continue
         sends = possible_executions(log)
@@ -100,7 +100,11 @@
 def test_a_record_of_another_version_is_skipped(tmp_path):
     write_three_events(tmp_path)
     with open(tmp_path / FILE_NAME, "ab") as log:
-        log.write(record(SENT, b'["evt-1"]') + record(DECIDED, b"{}") + record(ENDED, b'["evt-0"]'))
+        log.write(
+            encode_record(SENT, b'["evt-1"]')
+            + encode_record(DECIDED, b"{}")
+            + encode_record(ENDED, b'["evt-0"]')
+        )
     log = open_log(tmp_path)
     assert len(log.unreadable_ranges) == 2
     assert possible_executions(log) == {"evt-1": UNKNOWN_EXECUTION, "evt-2": UNKNOWN_EXECUTION}
--- a/tests/storage/test_stored_format.py
+++ b/tests/storage/test_stored_format.py
@@ -13,7 +13,7 @@
 LOADED_AT = WRITTEN_AT + 1000.0
 UNKNOWN_EXECUTION = (0.0, None)
 
-NEVER_SENT = {"attempts": 0, "send_in_flight": None, "may_have_run": None, "decision": None}
+NEVER_SENT = {"attempts": 0, "send_in_flight": None, "possible_execution": None, "decision": None}
 PLAIN_EVENT = {
     "idempotency_key": "",
     "stream_type": "once",
@@ -40,33 +40,33 @@
         "tenant": "south",
         "attempts": 1,
         "send_in_flight": (WRITTEN_AT + 12.0, 1),
-        "may_have_run": (WRITTEN_AT + 12.0, 1),
+        "possible_execution": (WRITTEN_AT + 12.0, 1),
     },
     "sent-twice": {
         "idempotency_key": "key-2",
         "stream_type": "posting",
         "attempts": 2,
         "send_in_flight": (WRITTEN_AT + 32.0, 1),
-        "may_have_run": (WRITTEN_AT + 22.0, 0),
+        "possible_execution": (WRITTEN_AT + 22.0, 0),
     },
     "never-ran": {"attempts": 1},
     "sent-then-never-ran": {
         "stream_type": "notice",
         "attempts": 2,
-        "may_have_run": (WRITTEN_AT + 52.0, 0),
+        "possible_execution": (WRITTEN_AT + 52.0, 0),
     },
     "rejected": {"decision": ("handed_back", 250.5), "decision_is_logged": True},
     "abandoned": {
         "attempts": 1,
         "send_in_flight": (WRITTEN_AT + 72.0, 1),
-        "may_have_run": (WRITTEN_AT + 72.0, 1),
+        "possible_execution": (WRITTEN_AT + 72.0, 1),
         "decision": ("given_up", 0.0),
         "decision_is_logged": True,
     },
     "abandoned-in-place": {
         "attempts": 1,
         "send_in_flight": (WRITTEN_AT + 82.0, 1),
-        "may_have_run": (WRITTEN_AT + 82.0, 1),
+        "possible_execution": (WRITTEN_AT + 82.0, 1),
         "decision": ("given_up", 0.0),
         "decision_is_logged": True,
     },
@@ -130,7 +130,7 @@
         event = log.pending[event_id]
         expected = PLAIN_EVENT | differences
         if is_damaged:
-            expected |= {"may_have_run": UNKNOWN_EXECUTION} | LOST_SEND.get(event_id, {})
+            expected |= {"possible_execution": UNKNOWN_EXECUTION} | LOST_SEND.get(event_id, {})
         assert {name: getattr(event, name) for name in expected} == expected, event_id
         assert event.event_id == event_id
         assert event.fingerprint() == FINGERPRINTS[event_id], event_id
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -11,7 +11,7 @@
 from itertools import count
 
 from support.fake_servers import FakeDiscovery
-from swiftthread.storage.records import ACCEPTED, ENDED, records
+from swiftthread.storage.records import ACCEPTED, ENDED, scan_records
 
 
 def stream_profile(name, effect, **more):
@@ -170,7 +170,7 @@
     def pending_event_ids(self):
         """Ids of the events that are pending by its write-ahead log."""
         held = {}
-        for _, _, kind, payload in records(self.log_path().read_bytes()):
+        for _, _, kind, payload in scan_records(self.log_path().read_bytes()):
             if kind in (ACCEPTED, ENDED):
                 row = json.loads(
                     payload[4 : 4 + struct.unpack_from("<I", payload)[0]] if kind == ACCEPTED else payload
