--- a/swiftthread/storage/__init__.py
+++ b/swiftthread/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of a node: the write-ahead log and the pending events that it keeps."""
+"""Durable state of a node: the write-ahead log and the pending events recorded in it."""
--- a/swiftthread/storage/decision.py
+++ b/swiftthread/storage/decision.py
@@ -1,20 +1,25 @@
-"""The final answer to an event that ends undelivered, in the words of the log and of the wire."""
+"""Final outcome of an event that was not delivered, as written to the log and sent in notifications."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class FinalOutcome(StrEnum):
-    """How an undelivered event ended; the values stand in log records and in notifications."""
+    """Final outcome of an undelivered event; the values are stored in the log and sent in notifications."""
 
     ABANDONED = "given_up"
-    """It may have had an effect."""
+    """An attempt may have had an effect."""
     REJECTED = "handed_back"
-    """It surely had none, or a repeat is harmless: its client may submit it again."""
+    """No attempt had an effect, or a repeat is harmless: the client may submit the event again."""
 
 
 class Decision(NamedTuple):
-    """The outcome, and after how many ms the client had best retry (0: no advice)."""
+    """The final outcome of an undelivered event and the advice to its client.
+
+    Attributes:
+        outcome: The final outcome.
+        retry_after_ms: Time after which the client should submit the event again; 0 gives no advice.
+    """
 
     outcome: FinalOutcome
     retry_after_ms: float
--- a/swiftthread/storage/event_records.py
+++ b/swiftthread/storage/event_records.py
@@ -1,4 +1,4 @@
-"""The payloads that the write-ahead log records of an event: which kinds there are and what they say."""
+"""Encodes the log records of an event, one function for each kind, and decodes its accepted record."""
 
 import json
 import struct
@@ -8,11 +8,12 @@
 from swiftthread.storage.pending_event import PendingEvent, PossibleExecution
 from swiftthread.storage.records import ACCEPTED, DECIDED, ENDED, NEVER_RAN, SENT, STATE, encode_record
 
-FIELDS_LENGTH = struct.Struct("<I")  # bytes of the JSON fields of a taken record; the body follows them
+# Length in bytes of the JSON fields of an accepted record. The fields and then the event's body follow it.
+FIELDS_LENGTH = struct.Struct("<I")
 
 
 def accepted_record(pending: PendingEvent) -> bytes:
-    """The event was accepted: everything that its client submitted."""
+    """Encodes that the event was accepted, with everything that its client submitted."""
     fields = json.dumps(
         [
             pending.event_id,
@@ -28,12 +29,12 @@
 
 
 def parse_accepted(payload: bytes) -> PendingEvent:
-    """The event that a taken record holds.
+    """Decodes the event of an accepted record.
 
     Raises:
-        ValueError: The fields are no JSON, or not as many as an event has.
-        TypeError: They are no list.
-        struct.error: The payload is too short.
+        ValueError: The fields are not valid JSON, or their number is not that of an event.
+        TypeError: The fields are not a JSON array.
+        struct.error: The payload is too short to hold the length of the fields.
     """
     (length,) = FIELDS_LENGTH.unpack_from(payload)
     body_begin = FIELDS_LENGTH.size + length
@@ -52,40 +53,40 @@
 
 
 def state_record(event_id: str, attempts: int, possible_execution: PossibleExecution | None) -> bytes:
-    """What a rewritten file keeps of the sends that came before."""
+    """Encodes, for a compacted file, the attempts that were made before the compaction."""
     return _json_record(STATE, event_id, attempts, possible_execution)
 
 
 def sent_record(event_id: str, send: PossibleExecution) -> bytes:
-    """The event is about to be sent."""
-    return _json_record(SENT, event_id, send.at, send.group)
+    """Encodes that the event is about to be sent."""
+    return _json_record(SENT, event_id, send.sent_at, send.group)
 
 
 def never_ran_record(event_id: str) -> bytes:
-    """The send in flight surely had no effect."""
+    """Encodes that the send in flight had no effect."""
     return _json_record(NEVER_RAN, event_id)
 
 
 def decided_record(event_id: str, decision: Decision) -> bytes:
-    """The event ends undelivered, with this final answer."""
+    """Encodes the final outcome of an event that was not delivered."""
     return _json_record(DECIDED, event_id, decision.outcome, decision.retry_after_ms)
 
 
 def ended_record(event_id: str) -> bytes:
-    """The event ended; its taken record stands before."""
+    """Encodes that the event ended; its accepted record precedes this one in the file."""
     return _json_record(ENDED, event_id)
 
 
 def ended_record_with_fingerprint(event_id: str, fingerprint: str | None) -> bytes:
-    """The event ended; its taken record is not in the file any more."""
+    """Encodes that the event ended, for a compacted file, which no longer holds its accepted record."""
     return _json_record(ENDED, event_id, fingerprint)
 
 
-def snapshot(pending: PendingEvent) -> bytes:
-    """The records that say all that is known of an event, in a rewritten file."""
+def encode_snapshot(pending: PendingEvent) -> bytes:
+    """Encodes all that is known of a pending event as the records of a compacted file."""
     parts = [accepted_record(pending)]
     if pending.attempts or pending.possible_execution:
-        # A send in flight has a record of its own, because it may still turn out that it never ran.
+        # The send in flight gets a separate record, because it may still turn out that it never ran.
         earlier_attempts = pending.attempts - 1 if pending.send_in_flight else pending.attempts
         parts.append(state_record(pending.event_id, earlier_attempts, pending.possible_execution))
     if pending.send_in_flight:
--- a/swiftthread/storage/log_clock.py
+++ b/swiftthread/storage/log_clock.py
@@ -1,11 +1,12 @@
-"""The clock of the moments that the log stores: it means the same after a restart, and is never stepped.
+"""Clock for the timestamps in the log: they stay valid after a restart, and the clock is never stepped.
 
-It counts ms from an epoch that is set once for each boot of the machine, from the wall clock as it stood
-then, and runs on at the monotonic clock. A wall clock that is set forward or back changes nothing: deadlines
-and deduplication windows are spans of real time. The epoch stands in a file beside the log.
+The clock counts ms from an epoch that is set from the wall clock once for each boot of the machine, and it
+advances with the monotonic clock. Setting the wall clock forward or back has no effect on it, because
+deadlines and deduplication windows are durations of real time. The epoch is stored in a file next to the log.
 
-CLOCK_MONOTONIC and not CLOCK_BOOTTIME, which counts the time of a suspended machine too: timers of the event
-loop run by the former, and a deadline must not pass by another clock than the timer that waits for it.
+The monotonic clock is CLOCK_MONOTONIC, not CLOCK_BOOTTIME, which also counts the time during which the
+machine is suspended: timers of the event loop use CLOCK_MONOTONIC, and a deadline must be measured on the
+same clock as the timer that waits for it.
 """
 
 import json
@@ -19,12 +20,12 @@
 FILE_NAME = "clock"
 NEW_FILE_NAME = "clock.new"
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
-# What reading a stored epoch can raise.
-UNREADABLE = (OSError, ValueError, TypeError, KeyError, AttributeError)
+# Exceptions that reading a missing or malformed epoch file can raise.
+EPOCH_READ_ERRORS = (OSError, ValueError, TypeError, KeyError, AttributeError)
 
 
 def read_boot_id() -> str:
-    """The kernel's id of this boot; empty where it does not tell."""
+    """Returns the kernel's id of this boot; empty if the kernel does not provide one."""
     try:
         with open(BOOT_ID_PATH, encoding="ascii") as source:
             return source.read().strip()
@@ -33,20 +34,25 @@
 
 
 class Epoch(NamedTuple):
-    """Where the clock's zero lies on the monotonic clock of a boot."""
+    """Offset of the log's clock from the monotonic clock of one boot.
+
+    Attributes:
+        boot_id: The boot during which the epoch was stored.
+        offset_ms: Time of the log's clock minus time of the monotonic clock.
+        stored_at_monotonic_ms: When the epoch was stored, on the monotonic clock of that boot.
+    """
 
     boot_id: str
     offset_ms: float
-    """The clock's moment minus that of the monotonic clock."""
     stored_at_monotonic_ms: float
 
-    def holds(self, boot_id: str, monotonic_now_ms: float) -> bool:
-        """Whether the monotonic clock is still the one that this was measured on."""
+    def is_valid_for(self, boot_id: str, monotonic_now_ms: float) -> bool:
+        """Whether the monotonic clock is still the one that this epoch was measured on."""
         return bool(boot_id) and boot_id == self.boot_id and monotonic_now_ms >= self.stored_at_monotonic_ms
 
 
 class LogClock:
-    """Gives the present moment in ms; call `now_ms`.
+    """A clock in ms that continues over restarts of the process.
 
     Attributes:
         was_set_from_wall_clock: Whether no valid epoch was stored, so that the wall clock set this clock.
@@ -60,13 +66,13 @@
         wall_clock: Clock = unix_ms,
         boot_id: str | None = None,
     ) -> None:
-        """Set the clock by the epoch in a folder, or by the wall clock where none is stored for this boot.
+        """Set the clock from the epoch stored in a folder, or from the wall clock if none is of this boot.
 
         Args:
-            folder: Where the log is.
-            monotonic: Gives monotonic ms.
-            wall_clock: Gives Unix ms; asked once.
-            boot_id: The id of this boot; None asks the kernel.
+            folder: The folder of the log.
+            monotonic: Returns monotonic time in ms.
+            wall_clock: Returns Unix time in ms; called at most once.
+            boot_id: The id of this boot; None reads it from the kernel.
         """
         self._path = os.path.join(folder, FILE_NAME)
         self._new_path = os.path.join(folder, NEW_FILE_NAME)
@@ -74,7 +80,7 @@
         self._boot_id = read_boot_id() if boot_id is None else boot_id
         stored = self._read()
         now = monotonic()
-        self.was_set_from_wall_clock = stored is None or not stored.holds(self._boot_id, now)
+        self.was_set_from_wall_clock = stored is None or not stored.is_valid_for(self._boot_id, now)
         if stored is not None and not self.was_set_from_wall_clock:
             self._offset_ms = stored.offset_ms
             return
@@ -83,19 +89,19 @@
             self.advance_to(stored.offset_ms + stored.stored_at_monotonic_ms)
 
     def now_ms(self) -> float:
-        """The present moment: ms since the epoch, near Unix time unless the wall clock was stepped."""
+        """Returns the time in ms since the epoch; it is near Unix time unless the wall clock was stepped."""
         return self._monotonic() + self._offset_ms
 
-    def advance_to(self, moment: float) -> None:
-        """Go on from a moment that has certainly passed, if the clock is behind it.
+    def advance_to(self, passed_at: float) -> None:
+        """Set the clock forward to a time that is known to have passed, if the clock is behind it.
 
-        After another boot the wall clock is all there is. Set back, it would give events more time than they
-        had.
+        After a reboot the wall clock is the only source of the time. If it was set back, events would get
+        more time until their deadlines than they had.
         """
-        self._offset_ms = max(self._offset_ms, moment - self._monotonic())
+        self._offset_ms = max(self._offset_ms, passed_at - self._monotonic())
 
     def store(self) -> None:
-        """Store the epoch for the next start; a log line when that fails."""
+        """Store the epoch for the next start; log a warning if that fails."""
         epoch = {
             "boot_id": self._boot_id,
             "offset_ms": self._offset_ms,
@@ -107,18 +113,18 @@
             os.replace(self._new_path, self._path)
         except OSError as error:
             logger.warning(
-                "the clock's epoch cannot be stored: {} ({}); a restart will trust the wall clock",
+                "the epoch of the log's clock cannot be stored: {} ({}); a restart will use the wall clock",
                 error.strerror,
                 self._path,
             )
 
     def _read(self) -> Epoch | None:
-        """The stored epoch; None when there is none that can be read."""
+        """Returns the stored epoch; None if it is missing or malformed."""
         try:
             with open(self._path, encoding="ascii") as source:
                 fields = json.load(source)
             return Epoch(
                 str(fields["boot_id"]), float(fields["offset_ms"]), float(fields["stored_at_monotonic_ms"])
             )
-        except UNREADABLE:
+        except EPOCH_READ_ERRORS:
             return None
--- a/swiftthread/storage/log_file.py
+++ b/swiftthread/storage/log_file.py
@@ -1,6 +1,6 @@
-"""The file of the write-ahead log: appending all or nothing, replacing it, changing a record in place.
+"""The file of the write-ahead log: atomic appends, replacement of the file, and changing a record in place.
 
-What the kernel has taken outlasts the process, so nothing is synced.
+Data written to the kernel survives the death of the process, so the file is not synced to the disk.
 """
 
 import errno
@@ -15,27 +15,31 @@
 
 
 class LogFileError(OSError):
-    """The log file could not be changed; `strerror` says why and `filename` names the file."""
+    """The log file could not be changed; `strerror` is the reason and `filename` the path of the file."""
 
     @classmethod
     def from_os_error(cls, error: OSError, path: str) -> Self:
-        """The same error, with the path of the file."""
+        """Returns the same error with the path of the log file."""
         return cls(error.errno, error.strerror, path)
 
 
 class LogFile:
-    """Owner of the file and of its descriptor.
+    """The open log file; owns its descriptor.
 
     Attributes:
         path: Path of the file.
-        size: Bytes of whole records in it.
+        size: Bytes of complete records in the file; a partial write behind them is not counted.
     """
 
     def __init__(self, folder: str, max_bytes: int) -> None:
-        """Open the file, or make it.
+        """Open the file, or create it.
+
+        Args:
+            folder: The folder of the file.
+            max_bytes: Size of the file above which `has_capacity_for` returns False.
 
         Raises:
-            OSError: It cannot be opened, or what an unfinished replacement left cannot be removed.
+            OSError: The file cannot be opened, or the rest of an unfinished replacement cannot be removed.
         """
         self.path = os.path.join(folder, FILE_NAME)
         self.size = 0
@@ -51,21 +55,21 @@
         os.close(self._descriptor)
 
     def read(self) -> bytes:
-        """The contents of the file, all of which then count as whole records."""
+        """Returns the contents of the file; `size` then counts all of them as complete records."""
         with open(self.path, "rb") as source:
             data = source.read()
         self.size = len(data)
         return data
 
-    def has_room_for(self, length: int) -> bool:
-        """Whether so many bytes more stay within the file's limit."""
-        return self.size + length <= self._max_bytes
+    def has_capacity_for(self, byte_count: int) -> bool:
+        """Whether the file stays within its maximum size if this number of bytes is appended."""
+        return self.size + byte_count <= self._max_bytes
 
     def append(self, data: bytes) -> int:
-        """Append whole records, all of them or nothing; returns the offset at which they begin.
+        """Append complete records, either all of them or none; returns the offset at which they begin.
 
         Raises:
-            LogFileError: They could not be written.
+            LogFileError: The records could not be written.
         """
         self._has_partial_write = True
         try:
@@ -79,19 +83,19 @@
         return offset
 
     def remove_partial_write(self) -> None:
-        """Cut off what an append left that broke off and could not be undone then.
+        """Truncate the file to its complete records if a failed append left a partial record behind them.
 
         Raises:
-            LogFileError: It cannot be cut off now either.
+            LogFileError: The partial record cannot be removed.
         """
         if self._has_partial_write:
             self.truncate(self.size)
 
     def truncate(self, size: int) -> None:
-        """Cut the file off after `size` bytes.
+        """Truncate the file to `size` bytes.
 
         Raises:
-            LogFileError: The file stays as it is.
+            LogFileError: The file could not be truncated and is unchanged.
         """
         try:
             os.ftruncate(self._descriptor, size)
@@ -101,10 +105,10 @@
         self._has_partial_write = False
 
     def replace(self, data: bytes) -> None:
-        """Put a file with these contents in the place of this one, atomically.
+        """Atomically replace the file by one with these contents.
 
         Raises:
-            LogFileError: The file stays as it is.
+            LogFileError: The file could not be replaced and is unchanged.
         """
         try:
             descriptor = self._write_new_file(data)
@@ -129,13 +133,13 @@
         return descriptor
 
     def overwrite_kind(self, record_offset: int, kind: bytes) -> None:
-        """Change the kind of the record at an offset; that needs no room on the disk.
+        """Overwrite the kind of the record at an offset, which needs no free space on the disk.
 
         Raises:
-            LogFileError: The record stays as it is.
+            LogFileError: The kind could not be overwritten and is unchanged.
         """
         try:
-            # A descriptor of its own: the other one appends whatever the offset.
+            # A separate descriptor, because writes to the other one (O_APPEND) ignore the offset.
             descriptor = os.open(self.path, os.O_WRONLY)
             try:
                 written = os.pwrite(descriptor, kind, record_offset + KIND_OFFSET)
--- a/swiftthread/storage/pending_event.py
+++ b/swiftthread/storage/pending_event.py
@@ -1,4 +1,4 @@
-"""An event that the node has accepted and that has not ended yet."""
+"""An accepted event that has not ended: neither acknowledged, nor its client notified of a final outcome."""
 
 import hashlib
 import json
@@ -7,23 +7,23 @@
 
 from swiftthread.storage.decision import Decision
 
-FINGERPRINT_BYTES = 8  # compared only among submissions under one id, so a collision is no danger
+FINGERPRINT_BYTES = 8  # only submissions with the same event id are compared, so collisions are no risk
 
 
 class PossibleExecution(NamedTuple):
-    """A send of which the endpoint may have executed the event.
+    """A send after which the endpoint may have executed the event.
 
     Attributes:
-        at: When it was sent, in ms on the clock of the log.
-        group: The deduplication group that it was sent to, a zone or an endpoint; None where there is none.
+        sent_at: When the event was sent, in ms on the clock of the log.
+        group: The deduplication group that it was sent to, a zone or an endpoint; None if there is none.
     """
 
-    at: float
+    sent_at: float
     group: int | str | None
 
 
 UNKNOWN_EXECUTION = PossibleExecution(0.0, None)
-"""A possible execution of which nothing else is known: long ago, in no group."""
+"""Stands for a send of unknown time and group: long ago (time 0), and in no group."""
 
 
 @dataclass(slots=True, eq=False)
@@ -32,21 +32,22 @@
 
     Attributes:
         event_id: The client's id of the event.
-        idempotency_key: The client's idempotency key; empty where it sent none.
+        idempotency_key: The client's idempotency key; empty if it sent none.
         stream_type: Name of the stream type.
         destination: Number of the destination.
-        expires_at: When it must not be sent any more, in ms on the clock of the log.
-        tenant: Name of the tenant; None where the client named none.
-        ordering_key: Number of the ordering key; 0 where there is none.
+        expires_at: Time after which the event must not be sent, in ms on the clock of the log.
+        tenant: Name of the tenant; None if the client named none.
+        ordering_key: Number of the ordering key; 0 if there is none.
         body: The event's body.
-        attempts: Sends so far, those that never ran included.
-        send_in_flight: The send that has no result yet.
-        possible_execution: The earliest earlier send that may have executed the event; None if there is none.
-        decision: The final answer, once there is one.
-        event: The same event in the router; set by the node, not stored.
-        reserved_bytes: Bytes of the log that its records may need at most.
-        file_offset: Where its taken record begins in the file.
-        decision_is_logged: Whether a restart would know of the decision.
+        attempts: Number of sends so far, including those that never ran.
+        send_in_flight: The send whose result is not known yet; None if there is none.
+        possible_execution: The earliest send before the one in flight that may have executed the event; None
+            if there is none. After a restart the send in flight counts too.
+        decision: The final outcome, once it is decided that the event will not be delivered.
+        event: The event of the router that stands for this one; set by the node, not stored.
+        reserved_bytes: Upper bound of the bytes that its records need in the log.
+        file_offset: Where its accepted record begins in the log file.
+        decision_is_logged: Whether the decision is in the log, so that a restart restores it.
     """
 
     event_id: str
@@ -66,18 +67,18 @@
     file_offset: int = field(init=False, default=0)
     decision_is_logged: bool = field(init=False, default=False)
 
-    def note_send(self, send: PossibleExecution) -> None:
-        """Note a send that leaves now."""
-        self.note_lost_result()
+    def record_send(self, send: PossibleExecution) -> None:
+        """Record that the event is about to be sent."""
+        self.record_lost_result()
         self.attempts += 1
         self.send_in_flight = send
 
-    def note_lost_result(self) -> None:
-        """Note that the send in flight, if there is one, may have executed the event."""
+    def record_lost_result(self) -> None:
+        """Record that the send in flight, if there is one, may have executed the event."""
         self.possible_execution = self.possible_execution or self.send_in_flight
 
     def fingerprint(self) -> str:
-        """Digest of what two submissions under one id share if they are the same: all but the expiry."""
+        """Returns a digest of the submitted fields except id and expiry; repeated submissions share it."""
         identity = [
             self.idempotency_key,
             self.stream_type,
--- a/swiftthread/storage/recently_ended.py
+++ b/swiftthread/storage/recently_ended.py
@@ -1,19 +1,19 @@
-"""Ids of events that ended a moment ago, by which a repeated submission is recognised."""
+"""Ids of events that ended recently, by which a repeated submission is recognised."""
 
 from collections.abc import Callable, ItemsView
 from typing import NamedTuple
 
-# For so long a client may submit an event again on another connection. After a restart it counts from the
-# start, because nobody could submit anything while the process was away.
+# Time within which a client may submit an event again on another connection. For an event that ended before a
+# restart it is counted from the restart, because no client could submit anything while the process was down.
 RETENTION_MS = 3000.0
 
 
 class EndedEvent(NamedTuple):
-    """What is remembered of an ended event.
+    """What is retained of an ended event.
 
     Attributes:
-        ended_at: When it ended (ms on the clock of the log), or of the start that read of it in the log.
-        fingerprint: See `PendingEvent.fingerprint`; None where an old log names none.
+        ended_at: When the event ended, or when a restart read its end from the log, in ms on the log's clock.
+        fingerprint: See `PendingEvent.fingerprint`; None if an older build wrote the log without it.
     """
 
     ended_at: float
@@ -21,7 +21,7 @@
 
 
 class RecentlyEndedEvents:
-    """The ids that ended within `RETENTION_MS`, oldest first."""
+    """The events that ended within the last `RETENTION_MS` by id, oldest first."""
 
     def __init__(self, log_clock: Callable[[], float]) -> None:
         self._log_clock = log_clock
@@ -31,23 +31,23 @@
         return len(self._events)
 
     def add(self, event_id: str, fingerprint: str | None) -> None:
-        """Remember an event that ends now."""
+        """Add an event that ends now."""
         self._events[event_id] = EndedEvent(self._log_clock(), fingerprint)
 
     def discard(self, event_id: str) -> None:
-        """Forget an id, if it is there."""
+        """Remove an id, if it is retained."""
         self._events.pop(event_id, None)
 
     def get(self, event_id: str) -> EndedEvent | None:
-        """What is remembered of an id; None when it did not end recently."""
+        """Returns what is retained of an event; None if no event with this id ended recently."""
         return self._events.get(event_id)
 
     def items(self) -> ItemsView[str, EndedEvent]:
-        """(id, what is remembered of it), oldest first."""
+        """Returns pairs of an id and what is retained of its event, oldest first."""
         return self._events.items()
 
     def expire(self) -> None:
-        """Forget the ids that ended too long ago."""
+        """Remove the ids of events that ended more than `RETENTION_MS` ago."""
         while self._events:
             oldest_id = next(iter(self._events))
             if self._events[oldest_id].ended_at >= self._log_clock() - RETENTION_MS:
--- a/swiftthread/storage/records.py
+++ b/swiftthread/storage/records.py
@@ -1,7 +1,7 @@
-"""Record format of the write-ahead log: framing, checksums, and scanning a damaged file.
+"""Record format of the write-ahead log: framing, checksums, and scanning of a possibly damaged file.
 
-A record is a header (checksum, payload length, kind) and a payload. The checksum covers everything after
-itself.
+A record consists of a header (checksum, payload length, kind) and a payload. The checksum covers everything
+that follows it in the record.
 """
 
 import re
@@ -12,7 +12,7 @@
 
 from swiftthread.storage.decision import FinalOutcome
 
-HEADER = struct.Struct("<IIc")  # CRC-32 of all that follows it, length of the payload in bytes, kind
+HEADER = struct.Struct("<IIc")  # CRC-32 of the rest of the record, length of the payload in bytes, kind
 CHECKSUM = struct.Struct("<I")
 LENGTH_AND_KIND = struct.Struct("<Ic")
 LENGTH_OFFSET = CHECKSUM.size
@@ -24,7 +24,8 @@
 NEVER_RAN = b"N"
 DECIDED = b"D"
 ENDED = b"E"
-# Written over the kind of an ACCEPTED record, whose checksum stays: the event was taken, and then decided.
+# These kinds overwrite the kind of an ACCEPTED record whose event has a final outcome. The record keeps the
+# checksum of the kind ACCEPTED.
 ACCEPTED_AND_ABANDONED = b"G"
 ACCEPTED_AND_REJECTED = b"H"
 
@@ -37,7 +38,7 @@
 
 
 class Record(NamedTuple):
-    """A whole record at the bytes [begin, end) of a file."""
+    """A complete record at the bytes [begin, end) of a file."""
 
     begin: int
     end: int
@@ -46,7 +47,7 @@
 
 
 class Gap(NamedTuple):
-    """The bytes [begin, end) of a file, which hold no whole record; unpacks like a `Record`."""
+    """Bytes [begin, end) of a file that contain no complete record; has the same fields as `Record`."""
 
     begin: int
     end: int
@@ -55,32 +56,32 @@
 
 
 def encode_record(kind: bytes, payload: bytes) -> bytes:
-    """Frame a payload as one log record, with its checksum, length and kind."""
+    """Returns one log record with this payload: checksum, length, kind, payload."""
     length_and_kind = LENGTH_AND_KIND.pack(len(payload), kind)
     checksum = zlib.crc32(payload, zlib.crc32(length_and_kind))
     return CHECKSUM.pack(checksum) + length_and_kind + payload
 
 
 def scan_records(data: bytes) -> Iterator[Record | Gap]:
-    """Each whole record of a file's contents, and the gaps between them."""
+    """Yields each complete record of a file's contents, and the gaps between them."""
     search_from = 0
     read_up_to = 0
     while candidate := KIND_PATTERN.search(data, search_from + KIND_OFFSET):
         begin = candidate.start() - KIND_OFFSET
-        whole = _record_at(data, begin)
-        if whole is None:
+        found_record = _record_at(data, begin)
+        if found_record is None:
             search_from = begin + 1
             continue
         if begin > read_up_to:
             yield Gap(read_up_to, begin)
-        yield whole
-        search_from = read_up_to = whole.end
+        yield found_record
+        search_from = read_up_to = found_record.end
     if read_up_to < len(data):
         yield Gap(read_up_to, len(data))
 
 
 def _record_at(data: bytes, begin: int) -> Record | None:
-    """The record that begins there; None where its checksum or length says that there is none."""
+    """Returns the record that begins at an offset; None if the length or the checksum does not match."""
     checksum, length, kind = HEADER.unpack_from(data, begin)
     payload_begin = begin + HEADER.size
     end = payload_begin + length
@@ -95,7 +96,7 @@
 
 
 def is_torn(tail: bytes) -> bool:
-    """Whether a file's last bytes can be the beginning of a record whose writer died."""
+    """Whether the last bytes of a file can be a record whose writer died before it was complete."""
     if len(tail) < HEADER.size:
         return True
     _, length, kind = HEADER.unpack_from(tail)
--- a/swiftthread/storage/replay.py
+++ b/swiftthread/storage/replay.py
@@ -1,7 +1,7 @@
-"""Reading the write-ahead log at a start: from its records to pending events and recently ended ids.
+"""Replays the write-ahead log at a start, to restore the pending events and the recently ended ids.
 
-What cannot be read is passed over, and the worst is assumed of what it may have said: that every event taken
-before it was sent and may have run.
+Unreadable bytes are skipped, and the worst case is assumed of the records that they may have held: that every
+event accepted before them was sent and may have run.
 """
 
 import json
@@ -29,22 +29,22 @@
 )
 
 MALFORMED_PAYLOAD = (ValueError, TypeError, struct.error)
-"""What parsing raises for a whole record whose payload is not of this program's making."""
+"""Exceptions that parsing raises for a complete record whose payload this program did not write."""
 
 
 class ByteRange(NamedTuple):
-    """The bytes [begin, end) of the file."""
+    """The bytes [begin, end) of the log file."""
 
     begin: int
     end: int
 
 
 class LogReplay:
-    """Fills a table of pending events and the recently ended ids from a log's contents.
+    """Restores the table of pending events and the recently ended ids from the contents of a log.
 
     Attributes:
-        torn_bytes: Length of the record at the end whose writer died.
-        unreadable_ranges: Where else there are bytes that are no record or say nothing understood.
+        torn_bytes: Length of an incomplete record at the end, whose writer died; 0 if there is none.
+        unreadable_ranges: Other bytes that are not a record, or are a record that cannot be interpreted.
     """
 
     def __init__(self, table: PendingEventTable, recently_ended: RecentlyEndedEvents) -> None:
@@ -54,7 +54,7 @@
         self._recently_ended = recently_ended
 
     def run(self, data: bytes) -> None:
-        """Apply every record of the log's contents."""
+        """Apply every record in the contents of the log."""
         for part in scan_records(data):
             if isinstance(part, Gap):
                 self._skip_gap(part, data)
@@ -64,7 +64,7 @@
             except MALFORMED_PAYLOAD:
                 self._skip_unreadable(part.begin, part.end)
         for pending in self._table.events.values():
-            pending.note_lost_result()
+            pending.record_lost_result()
 
     def _skip_gap(self, gap: Gap, data: bytes) -> None:
         if gap.end == len(data) and is_torn(data[gap.begin :]):
@@ -73,14 +73,14 @@
             self._skip_unreadable(gap.begin, gap.end)
 
     def _skip_unreadable(self, begin: int, end: int) -> None:
-        """A send of any event taken before, or the end of one, may have been noted here."""
+        """Skip bytes that may have recorded a send or the end of any event accepted before them."""
         self.unreadable_ranges.append(ByteRange(begin, end))
         for pending in self._table.events.values():
             pending.possible_execution = UNKNOWN_EXECUTION
 
     def _apply(self, record: Record) -> None:
         if record.kind == ACCEPTED or record.kind in IN_PLACE_OUTCOMES:
-            self._apply_taken(record)
+            self._apply_accepted(record)
             return
         event_id, *fields = json.loads(record.payload.decode())
         pending = self._table.events.get(event_id)
@@ -89,7 +89,7 @@
         elif pending is not None:
             APPLIERS[record.kind](pending, fields)
 
-    def _apply_taken(self, record: Record) -> None:
+    def _apply_accepted(self, record: Record) -> None:
         pending = parse_accepted(record.payload)
         pending.file_offset = record.begin
         outcome = IN_PLACE_OUTCOMES.get(record.kind)
@@ -99,7 +99,7 @@
         self._table.add(pending, record.end - record.begin)
 
     def _apply_ended(self, event_id: str, pending: PendingEvent | None, fields: list[Any]) -> None:
-        self._recently_ended.discard(event_id)  # so that the latest end stands last
+        self._recently_ended.discard(event_id)  # so that `add` puts the id last, as the latest to end
         if pending is None:
             self._recently_ended.add(event_id, fields[0] if fields else None)
             return
@@ -115,7 +115,7 @@
 
 
 def _apply_sent(pending: PendingEvent, fields: list[Any]) -> None:
-    pending.note_send(PossibleExecution(*fields))
+    pending.record_send(PossibleExecution(*fields))
 
 
 def _apply_never_ran(pending: PendingEvent, _fields: list[Any]) -> None:
@@ -134,4 +134,4 @@
     NEVER_RAN: _apply_never_ran,
     DECIDED: _apply_decided,
 }
-"""What each kind of record changes in the pending event that it names."""
+"""Function that applies a record to the pending event that it names, for each kind of record."""
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -1,8 +1,8 @@
-"""The write-ahead log of a node, from which a restart knows the events that are still owed.
+"""The write-ahead log of a node, from which a restart restores the events that have not ended.
 
-One file of records, each with a checksum. It is compacted, to live events only, when it would outgrow its
-part of the disk. A decision for which the disk has no room is noted in place, as the kind of the event's
-taken record.
+The log is one file of records, each with a checksum. When the file would exceed its share of the disk, it is
+compacted to the pending events and the recently ended ids. A decision for which the disk has no space is
+recorded in place, by overwriting the kind of the event's accepted record.
 """
 
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 from swiftthread.storage.event_records import (
     accepted_record,
     decided_record,
+    encode_snapshot,
     ended_record,
     ended_record_with_fingerprint,
     never_ran_record,
     sent_record,
-    snapshot,
 )
 from swiftthread.storage.log_file import LogFile, LogFileError
 from swiftthread.storage.pending_event import PendingEvent, PossibleExecution
@@ -28,30 +28,32 @@
 from swiftthread.storage.records import IN_PLACE_KINDS
 from swiftthread.storage.replay import LogReplay
 
-MAX_FILE_DISK_SHARE = 0.45  # of the disk: while the file is compacted, the old and the new one both lie there
-MAX_LIVE_DISK_SHARE = 0.35  # of the disk: what pending events may need, so that a compacted file can grow
+# Share of the disk that the log file may use. During compaction the old and the new file exist side by side.
+MAX_FILE_DISK_SHARE = 0.45
+# Share of the disk that records of pending events may need. It is smaller, so that a compacted file can grow.
+MAX_LIVE_DISK_SHARE = 0.35
 
 
 class WriteAheadLog:
-    """The log file, the pending events and the recently ended ids, kept in step.
+    """The log file with the pending events and the recently ended ids that it records.
 
     Attributes:
-        pending: id -> event that is still owed; entries go as events end.
-        recently_ended: The ids that ended a moment ago.
-        torn_bytes: Bytes of a record torn at the end of the file that the start read.
-        unreadable_ranges: (begin, end) of the other bytes of it that could not be read.
+        pending: The pending events by id; an event is removed when it ends.
+        recently_ended: The events that ended recently.
+        torn_bytes: Length of an incomplete record that was cut off the end of the file at the start.
+        unreadable_ranges: (begin, end) of other bytes that could not be interpreted at the start.
     """
 
     def __init__(self, folder: str, disk_bytes: int, log_clock: Callable[[], float]) -> None:
         """Open the log in a folder and read it.
 
         Args:
-            folder: Where the file is, or is to be made.
-            disk_bytes: What the node may use of the disk.
-            log_clock: Returns ms on the clock of stored moments, see `LogClock`.
+            folder: Folder of the log file, which is created if it does not exist.
+            disk_bytes: Bytes of the disk that the node may use.
+            log_clock: Returns ms on the clock of stored timestamps, see `LogClock`.
 
         Raises:
-            OSError: The file cannot be opened, read, or rid of a torn record.
+            OSError: The file cannot be opened or read, or an incomplete record cannot be cut off its end.
         """
         self._log_clock = log_clock
         self._table = PendingEventTable(int(MAX_LIVE_DISK_SHARE * disk_bytes))
@@ -88,18 +90,18 @@
 
     @property
     def size(self) -> int:
-        """Bytes of whole records in the log file."""
+        """Bytes of complete records in the log file."""
         return self._file.size
 
     @property
     def live_bytes(self) -> int:
-        """Bytes of the log that the pending events may need at most."""
+        """Upper bound of the bytes that the records of the pending events need in the log."""
         return self._table.live_bytes
 
     def latest_send_at(self) -> float:
-        """The latest moment that the log tells of: that of a send of a pending event; 0 for none."""
+        """Returns the time of the latest send of a pending event, the latest time in the log; 0 if none."""
         sends = [
-            send.at
+            send.sent_at
             for pending in self.pending.values()
             for send in (pending.send_in_flight, pending.possible_execution)
             if send is not None
@@ -107,7 +109,7 @@
         return max(sends, default=0.0)
 
     def matches_known_event(self, pending: PendingEvent) -> bool | None:
-        """Whether the event known under this id is the same submission; None where the id is not known."""
+        """Whether the known event with this id is the same submission; None if no event with it is known."""
         self.recently_ended.expire()
         if (known := self.pending.get(pending.event_id)) is not None:
             return known.fingerprint() == pending.fingerprint()
@@ -116,61 +118,65 @@
         return None
 
     def append_accepted(self, pending: PendingEvent) -> bool:
-        """Take an event; False when the log has no room for it or cannot be written."""
+        """Record an accepted event; False if the log has no space for it or cannot be written."""
         data = accepted_record(pending)
-        if not self._table.has_room_for(pending.event_id, len(data)):
+        if not self._table.has_capacity_for(pending.event_id, len(data)):
             return False
         try:
             pending.file_offset = self._append(data)
         except LogFileError as error:
-            logger.error("the log cannot take an event: {} ({})", error.strerror, pending.event_id)
+            logger.error(
+                "the write-ahead log cannot be written: {}; event {} is not accepted",
+                error.strerror,
+                pending.event_id,
+            )
             return False
         self._table.add(pending, len(data))
         return True
 
     def append_sent(self, pending: PendingEvent, group: int | str | None) -> bool:
-        """Note a send before its first byte; False when it must not go, for the log cannot be written."""
+        """Record a send before its first byte; False if the log cannot be written and nothing may be sent."""
         send = PossibleExecution(self._log_clock(), group)
         if not self._try_append(pending, sent_record(pending.event_id, send)):
             return False
-        pending.note_send(send)
+        pending.record_send(send)
         return True
 
     def append_never_ran(self, pending: PendingEvent) -> None:
-        """Note that the send in flight surely had no effect."""
+        """Record that the send in flight had no effect."""
         pending.send_in_flight = None
         self._try_append(pending, never_ran_record(pending.event_id))
 
     def append_decision(self, pending: PendingEvent, decision: Decision) -> bool:
-        """Note a decision; False when it cannot even be noted in place: a restart would not know of it."""
+        """Record a decision; False if it cannot be recorded even in place, and a restart would lose it."""
         pending.decision = decision
         pending.decision_is_logged = (
             pending.decision_is_logged
             or self._try_append(pending, decided_record(pending.event_id, decision))
-            or self._try_note_in_place(pending, decision)
+            or self._try_record_in_place(pending, decision)
         )
         return pending.decision_is_logged
 
     def append_ended(self, pending: PendingEvent) -> None:
-        """Forget an event that has its final answer.
+        """Remove an event that was acknowledged, or whose client was notified of its final outcome.
 
-        Where the log cannot be written, the event is owed again after a restart.
+        If the log cannot be written, the event is pending again after a restart.
         """
         self._table.remove(pending)
         self.recently_ended.add(pending.event_id, pending.fingerprint())
         self._try_append(pending, ended_record(pending.event_id))
 
     def compact(self) -> None:
-        """Replace the file by one that holds the pending events and the recently ended ids only.
+        """Replace the file by one that records only the pending events and the recently ended ids.
 
         Raises:
-            LogFileError: The file stays as it is.
+            LogFileError: The file could not be replaced and is unchanged.
         """
         parts = []
         offsets = []
         offset = 0
         for pending in self.pending.values():
-            part = snapshot(pending)
+            part = encode_snapshot(pending)
             parts.append(part)
             offsets.append(offset)
             offset += len(part)
@@ -182,7 +188,7 @@
             pending.file_offset = file_offset
 
     def _replay(self) -> LogReplay:
-        """Read the file, cut off a torn record, and compact the file if it is damaged."""
+        """Read the file, cut off an incomplete record at its end, and compact the file if it is damaged."""
         replay = LogReplay(self._table, self.recently_ended)
         replay.run(self._file.read())
         if replay.torn_bytes:
@@ -190,31 +196,43 @@
         if replay.unreadable_ranges:
             try:
                 self.compact()
-            except LogFileError as error:  # the file stays as it is, and the next start reads the same
-                logger.error("the log cannot be compacted: {} ({})", error.strerror, self.path)
+            except LogFileError as error:  # the file is unchanged, and the next start reads the same
+                logger.error(
+                    "the damaged write-ahead log cannot be compacted: {} ({}); its unreadable bytes remain",
+                    error.strerror,
+                    self.path,
+                )
         return replay
 
     def _append(self, data: bytes) -> int:
-        """Append records, and compact the file first if it would grow too large; returns their offset."""
+        """Append records, and compact the file first if it would exceed its limit; returns their offset."""
         self._file.remove_partial_write()
-        if not self._file.has_room_for(len(data)):
+        if not self._file.has_capacity_for(len(data)):
             self.compact()
         return self._file.append(data)
 
     def _try_append(self, pending: PendingEvent, data: bytes) -> bool:
-        """Append a record of an event; False, and a log line, when that fails."""
+        """Append a record of an event; if that fails, log an error and return False."""
         try:
             self._append(data)
         except LogFileError as error:
-            logger.error("the log cannot be written: {} ({})", error.strerror, pending.event_id)
+            logger.error(
+                "the write-ahead log cannot be written: {}; a record of event {} is not appended",
+                error.strerror,
+                pending.event_id,
+            )
             return False
         return True
 
-    def _try_note_in_place(self, pending: PendingEvent, decision: Decision) -> bool:
-        """Note the outcome over the event's taken record; False, and a log line, when that fails."""
+    def _try_record_in_place(self, pending: PendingEvent, decision: Decision) -> bool:
+        """Overwrite the kind of the event's accepted record; if that fails, log an error and return False."""
         try:
             self._file.overwrite_kind(pending.file_offset, IN_PLACE_KINDS[decision.outcome])
         except LogFileError as error:
-            logger.error("the log cannot be changed: {} ({})", error.strerror, pending.event_id)
+            logger.error(
+                "the write-ahead log cannot be changed: {}; the final outcome of event {} is not recorded",
+                error.strerror,
+                pending.event_id,
+            )
             return False
         return True
--- a/tests/storage/test_full_disk.py
+++ b/tests/storage/test_full_disk.py
@@ -63,7 +63,10 @@
         text=True,
     )
     assert child.returncode == 0, child.stderr
-    assert "the log cannot be written: File too large (evt-1)" in child.stderr
+    assert (
+        "the write-ahead log cannot be written: File too large; a record of event evt-1 is not appended"
+        in child.stderr
+    )
     with open_log(tmp_path) as log:
         decisions = [event.decision for event in log.pending.values()]
         assert decisions == [None, (outcome, 0.0), None]
