--- a/swiftthread/storage/event_records.py
+++ b/swiftthread/storage/event_records.py
@@ -13,7 +13,7 @@
 
 
 def accepted_record(pending: PendingEvent) -> bytes:
-    """Encodes that the event was accepted, with everything that its client submitted."""
+    """Encode that the event was accepted, with everything that its client submitted."""
     fields = json.dumps(
         [
             pending.event_id,
@@ -29,7 +29,7 @@
 
 
 def parse_accepted(payload: bytes) -> PendingEvent:
-    """Decodes the event of an accepted record.
+    """Decode the event of an accepted record.
 
     Raises:
         ValueError: The fields are not valid JSON, or their number is not that of an event.
@@ -58,32 +58,32 @@
 
 
 def sent_record(event_id: str, send: PossibleExecution) -> bytes:
-    """Encodes that the event is about to be sent."""
+    """Encode that the event is about to be sent."""
     return _json_record(SENT, event_id, send.sent_at, send.group)
 
 
 def never_ran_record(event_id: str) -> bytes:
-    """Encodes that the send in flight had no effect."""
+    """Encode that the send in flight had no effect."""
     return _json_record(NEVER_RAN, event_id)
 
 
 def decided_record(event_id: str, decision: Decision) -> bytes:
-    """Encodes the final outcome of an event that was not delivered."""
+    """Encode the final outcome of an event that was not delivered."""
     return _json_record(DECIDED, event_id, decision.outcome, decision.retry_after_ms)
 
 
 def ended_record(event_id: str) -> bytes:
-    """Encodes that the event ended; its accepted record precedes this one in the file."""
+    """Encode that the event ended; its accepted record precedes this one in the file."""
     return _json_record(ENDED, event_id)
 
 
 def ended_record_with_fingerprint(event_id: str, fingerprint: str | None) -> bytes:
-    """Encodes that the event ended, for a compacted file, which no longer holds its accepted record."""
+    """Encode that the event ended, for a compacted file, which no longer holds its accepted record."""
     return _json_record(ENDED, event_id, fingerprint)
 
 
 def encode_snapshot(pending: PendingEvent) -> bytes:
-    """Encodes all that is known of a pending event as the records of a compacted file."""
+    """Encode all that is known of a pending event as the records of a compacted file."""
     parts = [accepted_record(pending)]
     if pending.attempts or pending.possible_execution:
         # The send in flight gets a separate record, because it may still turn out that it never ran.
--- a/swiftthread/storage/replay.py
+++ b/swiftthread/storage/replay.py
@@ -1,4 +1,4 @@
-"""Replays the write-ahead log at a start, to restore the pending events and the recently ended ids.
+"""Replays the write-ahead log at startup, to restore the pending events and the recently ended ids.
 
 Unreadable bytes are skipped, and the worst case is assumed of the records that they may have held: that every
 event accepted before them was sent and may have run.
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -40,15 +40,15 @@
     Attributes:
         pending: The pending events by id; an event is removed when it ends.
         recently_ended: The events that ended recently.
-        torn_bytes: Length of an incomplete record that was cut off the end of the file at the start.
-        unreadable_ranges: (begin, end) of other bytes that could not be interpreted at the start.
+        torn_bytes: Length of an incomplete record that was cut off the end of the file at startup.
+        unreadable_ranges: (begin, end) of other bytes that could not be interpreted at startup.
     """
 
     def __init__(self, folder: str, disk_bytes: int, log_clock: Callable[[], float]) -> None:
         """Open the log in a folder and read it.
 
         Args:
-            folder: Folder of the log file, which is created if it does not exist.
+            folder: Folder of the log file; the file is created if it does not exist.
             disk_bytes: Bytes of the disk that the node may use.
             log_clock: Returns ms on the clock of stored timestamps, see `LogClock`.
 
--- a/tests/storage/log_fixtures.py
+++ b/tests/storage/log_fixtures.py
@@ -1,4 +1,4 @@
-"""Logs and events for the tests of the storage package."""
+"""Opens logs and creates events for the tests of the storage package."""
 
 from swiftthread.storage.pending_event import PendingEvent
 from swiftthread.storage.write_ahead_log import WriteAheadLog
@@ -12,7 +12,7 @@
 
 
 def pending_event(event_id="evt-1", **changes):
-    """An event of a non-idempotent stream type, with some fields changed."""
+    """Returns an event of a non-idempotent stream type, with these fields changed."""
     fields = {
         "idempotency_key": "k",
         "stream_type": "once",
--- a/tests/storage/test_duplicate_submissions.py
+++ b/tests/storage/test_duplicate_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions under one id: the same once more, or another's; also across a restart."""
+"""Submissions with the id of a known event: the same event again or a different one, also after a restart."""
 
 import signal
 
@@ -12,7 +12,7 @@
 from swiftthread.storage.records import ENDED, encode_record
 
 
-def test_an_event_submitted_again_after_a_kill_is_no_second_event(tmp_path):
+def test_an_event_resubmitted_after_a_kill_is_delivered_once(tmp_path):
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint) as node:
         assert node.submit("once", ident="crossed") == 202
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("is_compacted", [False, True])
-def test_a_recently_ended_id_is_known_after_a_restart_and_in_a_compacted_log(tmp_path, is_compacted):
+def test_a_recently_ended_id_is_known_after_a_restart_until_it_expires(tmp_path, is_compacted):
     now = [NOW]
     with open_log(tmp_path, lambda: now[0]) as log:
         assert log.append_accepted(pending_event())
@@ -61,7 +61,7 @@
         {"ordering_key": 7},
     ],
 )
-def test_another_submission_under_a_known_id_is_not_the_same(tmp_path, other, is_ended):
+def test_a_submission_with_a_known_id_and_a_different_field_does_not_match(tmp_path, other, is_ended):
     with open_log(tmp_path) as log:
         assert log.append_accepted(pending_event())
         if is_ended:
@@ -70,14 +70,14 @@
         assert log.matches_known_event(pending_event(expires_at=1.0)) is True
 
 
-def test_a_log_without_fingerprints_still_knows_its_ids(tmp_path):
+def test_ended_ids_of_a_log_without_fingerprints_match_any_submission(tmp_path):
     (tmp_path / FILE_NAME).write_bytes(encode_record(ENDED, b'["evt-1"]'))
     with open_log(tmp_path) as log:
         assert log.matches_known_event(pending_event()) is True
         assert not log.unreadable_ranges
 
 
-def test_two_clients_with_one_id_do_not_both_get_accepted(tmp_path):
+def test_a_different_event_with_the_id_of_a_pending_event_gets_409(tmp_path):
     endpoint = FakeEndpoint(None)
     other = FakeEndpoint(ident="s-2", cell=2)
     with NodeProcess(tmp_path, endpoint, other) as node:
--- a/tests/storage/test_full_disk.py
+++ b/tests/storage/test_full_disk.py
@@ -1,4 +1,4 @@
-"""A log that the disk refuses to take: nothing noted is lost, and nothing unnoted is sent."""
+"""Failing writes to the log: no recorded decision or send is lost, no event is sent without a record."""
 
 import json
 import os
@@ -23,7 +23,7 @@
     stream_profile("posting", "dedup", Group="zone", Window=6.0, Deadline=9.0),
 ]
 
-# In a process of its own: the limit holds for each of its files, so for a test runner's output too.
+# Runs in a separate process, because the limit applies to all of its files, also to a test runner's output.
 DECIDE_ON_A_FULL_DISK = """
 import os, resource, sys
 from log_fixtures import open_log, pending_event
@@ -48,13 +48,13 @@
     raise OSError(5, "Input/output error")
 
 
-def limit_files(node, size):
+def limit_file_size(node, size):
     hard = resource.prlimit(node.process.pid, resource.RLIMIT_FSIZE)[1]
     resource.prlimit(node.process.pid, resource.RLIMIT_FSIZE, (size, hard))
 
 
 @pytest.mark.parametrize("outcome", ["given_up", "handed_back"])
-def test_a_decision_is_in_the_log_though_the_disk_is_full(tmp_path, outcome):
+def test_a_decision_on_a_full_disk_is_recorded_in_place(tmp_path, outcome):
     child = subprocess.run(
         [sys.executable, "-c", DECIDE_ON_A_FULL_DISK, str(tmp_path), outcome],
         cwd=Path(__file__).parent,
@@ -73,8 +73,8 @@
         assert not log.unreadable_ranges
 
 
-def test_what_a_partial_write_left_is_cut_before_the_next_one(tmp_path, monkeypatch):
-    """Left there, it and all after it would be lost to the next start, records of sends included."""
+def test_a_partial_write_is_cut_off_before_the_next_append(tmp_path, monkeypatch):
+    """A partial record left in the file would make it and all later records, also of sends, unreadable."""
     log = open_log(tmp_path)
     events = [pending_event("evt-0"), pending_event("evt-1")]
     assert all(map(log.append_accepted, events))
@@ -98,7 +98,9 @@
         assert not log.unreadable_ranges
 
 
-def test_a_failed_append_or_replacement_names_the_file_and_leaves_it_as_it_was(tmp_path, monkeypatch):
+def test_a_failed_append_or_replacement_raises_with_the_path_and_leaves_the_file_unchanged(
+    tmp_path, monkeypatch
+):
     file = LogFile(str(tmp_path), 1000)
     file.append(b"whole")
     descriptors = os.listdir("/proc/self/fd")
@@ -117,10 +119,10 @@
 
 
 def test_a_full_disk_loses_no_record_of_a_send_that_may_have_run(tmp_path):
-    """The second send cannot be noted, so it does not go.
+    """Guards against losing the record of a send that may have run.
 
-    It was struck from the log as one that never ran, and the first with it: after a restart the event went to
-    the other group.
+    The second send cannot be recorded, so it is skipped. When a skipped send was recorded as one that never
+    ran, that record cancelled the first send, and after a restart the event was sent to the other group.
     """
     other = FakeEndpoint(ident="s-2")
     other.entry = lambda entry=other.entry: entry() | {"zone": "west"}
@@ -128,16 +130,16 @@
     with NodeProcess(tmp_path, first, Profiles=STREAM_TYPES) as node:
         sizes = []
 
-        def fill_the_disk(_body):
+        def fill_disk(_body):
             sizes.append(os.path.getsize(node.log_path()))
-            limit_files(node, sizes[0])
+            limit_file_size(node, sizes[0])
             return "reset"
 
-        first.script[0] = fill_the_disk
+        first.script[0] = fill_disk
         assert node.submit("posting", left="8000m", **{"Idempotency-Key": "k"}) == 202
         wait_until(lambda: sizes)
         time.sleep(0.3)
-        limit_files(node, resource.RLIM_INFINITY)
+        limit_file_size(node, resource.RLIM_INFINITY)
         wait_until(lambda: len(first.calls) == 2 or os.path.getsize(node.log_path()) > sizes[0])
         node.stop(signal.SIGKILL)
         first.cut()
@@ -151,10 +153,15 @@
 
 
 def test_an_event_rejected_on_a_full_disk_is_not_sent_after_a_restart(tmp_path):
-    """Its client was notified to submit it elsewhere; here it was still owed."""
+    """Guards against delivering an event that its client was notified to submit elsewhere.
+
+    If the full disk loses the decision, the event is pending again after a restart.
+    """
     endpoint = FakeEndpoint((429, [("Retry-After", "2.9")], b""))
-    silent = FakeEndpoint(None, ident="s-2", cell=2)
-    with NodeProcess(tmp_path, endpoint, silent, Profiles=STREAM_TYPES, Permissions={"MaxOpen": 10}) as node:
+    unresponsive = FakeEndpoint(None, ident="s-2", cell=2)
+    with NodeProcess(
+        tmp_path, endpoint, unresponsive, Profiles=STREAM_TYPES, Permissions={"MaxOpen": 10}
+    ) as node:
 
         def submit(number, destination=1):
             assert node.submit("once", left="8000m", ident=f"evt-{number}", destination=destination) == 202
@@ -162,9 +169,10 @@
 
         submit(10, destination=2)
         submit(11)
-        wait_until(lambda: b'N["evt-11"]' in node.log_path().read_bytes() and silent.calls)
-        sizes = [submit(number) for number in range(12, 19)]  # held back by the Retry-After
-        limit_files(node, sizes[-1] + 80)  # room for one more, some 70 bytes, and none for a decision
+        wait_until(lambda: b'N["evt-11"]' in node.log_path().read_bytes() and unresponsive.calls)
+        sizes = [submit(number) for number in range(12, 19)]  # deferred by the Retry-After
+        # Leaves space for one more accepted record, of about 70 bytes, but not for a decision.
+        limit_file_size(node, sizes[-1] + 80)
         submit(19)
         wait_until(node.final_outcomes)
         node.stop(signal.SIGKILL)
--- a/tests/storage/test_removed_stream_type.py
+++ b/tests/storage/test_removed_stream_type.py
@@ -1,4 +1,4 @@
-"""Events that a restart finds in the log, of a stream type that the settings name no more."""
+"""Events that a restart reads from the log, of a stream type that is no longer in the settings."""
 
 import json
 import signal
@@ -17,7 +17,7 @@
     node.start()
 
 
-def test_what_may_have_run_is_abandoned_when_its_stream_type_is_removed(tmp_path):
+def test_an_event_that_may_have_run_is_abandoned_when_its_stream_type_is_removed(tmp_path):
     endpoint = FakeEndpoint(None)
     posting = stream_profile("posting", "dedup", Group="zone", Window=6.0, Deadline=9.0)
     once = stream_profile("once", "fragile", Deadline=9.0)
@@ -29,7 +29,7 @@
         assert "a stream type that is no more: once" in node.stop_and_read_log()
 
 
-def test_what_was_never_sent_is_rejected_when_its_stream_type_is_removed(tmp_path):
+def test_an_event_that_was_never_sent_is_rejected_when_its_stream_type_is_removed(tmp_path):
     endpoint = FakeEndpoint(None)
     with NodeProcess(tmp_path, endpoint, Profiles=[NOTICE, ONCE], Domain={"CallsOut": 1}) as node:
         assert node.submit("once") == 202
--- a/tests/storage/test_stored_format.py
+++ b/tests/storage/test_stored_format.py
@@ -1,4 +1,4 @@
-"""Logs that an earlier release wrote are understood, event by event (see tests/data/README.md)."""
+"""Logs written by an earlier release are read correctly, event by event (see tests/data/README.md)."""
 
 import shutil
 from pathlib import Path
@@ -72,10 +72,10 @@
     },
     "rejected-in-place": {"decision": ("handed_back", 0.0), "decision_is_logged": True},
 }
-"""What differs from `PLAIN_EVENT`, in the order in which the events were taken."""
+"""Differences from `PLAIN_EVENT` by event id, in the order in which the events were accepted."""
 
 LOST_SEND = {"never-ran": {"attempts": 0}}
-"""The damaged record was the only send of this event."""
+"""The only send of this event was in the damaged record."""
 
 FINGERPRINTS = {
     "taken": "2e9c2b7f02f56fcd",
@@ -110,7 +110,7 @@
 
 @pytest.fixture
 def load(tmp_path):
-    """Open a copy of a stored log with the clock of the day on which it was written."""
+    """Returns a function that opens a copy of a stored log, with a clock of the day when it was written."""
     logs = []
 
     def load_copy(name):
@@ -124,7 +124,7 @@
 
 
 def assert_events(log, offsets, is_damaged=False):
-    """Every field of every event, the reserved bytes and the ids just ended."""
+    """Assert every field of every event, the reserved bytes and the recently ended ids."""
     assert list(log.pending) == list(EVENTS)
     for (event_id, differences), offset in zip(EVENTS.items(), offsets, strict=True):
         event = log.pending[event_id]
@@ -141,41 +141,42 @@
     assert list(log.recently_ended.items()) == ended
 
 
-def test_appended_records_are_understood(load):
+def test_appended_records_are_read(load):
     log = load("appended")
     assert_events(log, APPENDED_OFFSETS)
     assert not log.torn_bytes and not log.unreadable_ranges
 
 
-def test_a_rewritten_file_is_understood(load):
+def test_a_compacted_file_is_read(load):
     log = load("rewritten")
     advised = log.pending["rejected-in-place"].decision
-    assert advised == ("handed_back", 900.0)  # in place there was no room for the advice to retry
+    # A decision recorded in place has no space for the retry advice.
+    assert advised == ("handed_back", 900.0)
     log.pending["rejected-in-place"].decision = advised._replace(retry_after_ms=0.0)
     assert_events(log, REWRITTEN_OFFSETS)
     assert not log.torn_bytes and not log.unreadable_ranges
 
 
-def test_a_torn_tail_is_cut_off(load):
+def test_a_torn_record_at_the_end_is_cut_off(load):
     log = load("torn")
     assert_events(log, APPENDED_OFFSETS)
     assert log.torn_bytes == 29 and not log.unreadable_ranges
     assert Path(log.path).read_bytes() == (DATA / "write_ahead_log_appended.bin").read_bytes()
 
 
-def test_a_damaged_stretch_leaves_what_was_taken_before_it_as_possibly_run(load):
+def test_events_accepted_before_damaged_bytes_may_have_run(load):
     log = load("damaged")
     assert_events(log, AFTER_DAMAGE_OFFSETS, is_damaged=True)
     assert log.unreadable_ranges == DAMAGED_RANGES and not log.torn_bytes
 
 
-def test_a_damaged_file_is_rewritten_byte_for_byte_as_by_the_earlier_release(load):
+def test_a_damaged_file_is_compacted_to_the_same_bytes_as_by_the_earlier_release(load):
     log = load("damaged")
     rewritten = (DATA / "write_ahead_log_rewritten_after_damage.bin").read_bytes()
     assert Path(log.path).read_bytes() == rewritten
 
 
-def test_a_file_rewritten_after_damage_is_understood(load):
+def test_a_file_compacted_after_damage_is_read(load):
     log = load("rewritten_after_damage")
     assert_events(log, AFTER_DAMAGE_OFFSETS, is_damaged=True)
     assert not log.torn_bytes and not log.unreadable_ranges
