--- a/swiftthread/__init__.py
+++ b/swiftthread/__init__.py
@@ -1,1 +1,1 @@
-"""swiftthread: a delivery service for notifications to outside receivers."""
+"""swiftthread: a service that delivers notifications to external receivers."""
--- a/swiftthread/__main__.py
+++ b/swiftthread/__main__.py
@@ -1,4 +1,4 @@
-"""One delivery node: `python -m swiftthread`. LB_CONFIG names its configuration; see `node_config`."""
+"""Runs one delivery node: `python -m swiftthread`. LB_CONFIG names its configuration; see `node_config`."""
 
 import gc
 import os
@@ -12,26 +12,26 @@
 from swiftthread.service.log_filter import RepeatFilter
 from swiftthread.service.startup import SIGNALS, serve
 
-EXIT_UNUSABLE = 2
-"""Exit code when the configuration, or what it names, cannot be used."""
+EXIT_CONFIGURATION_ERROR = 2
+"""Exit code if the configuration, or a file or address that it names, cannot be used."""
 
 
 def main() -> int:
     """Run one node; returns the exit code of the process."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # until `serve` receives them
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # blocked until `serve` receives them
     _configure_logging()
     try:
         config = read_node_config(os.environ)
     except ConfigurationError as error:
         print(f"swiftthread: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE
+        return EXIT_CONFIGURATION_ERROR
     gc.freeze()
     exit_code = 0
     try:
         anyio.run(serve, config)
     except* OSError as errors:
         print(f"swiftthread: {errors.exceptions[0]}", file=sys.stderr)
-        exit_code = EXIT_UNUSABLE
+        exit_code = EXIT_CONFIGURATION_ERROR
     return exit_code
 
 
--- a/swiftthread/configuration/__init__.py
+++ b/swiftthread/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration of a node and settings of the router: read once, checked, and typed."""
+"""Reads the configuration of a node and the settings of its router, checks them, and returns typed values."""
--- a/swiftthread/configuration/node_config.py
+++ b/swiftthread/configuration/node_config.py
@@ -1,4 +1,4 @@
-"""Configuration of a node: the JSON document that LB_CONFIG names, read and checked once."""
+"""Configuration of a node: reads and checks the JSON file that the environment variable LB_CONFIG names."""
 
 import contextlib
 import json
@@ -9,15 +9,15 @@
 from swiftthread.configuration.settings_reader import (
     MalformedInput,
     SettingNames,
-    doubtful_settings,
-    read_names,
+    find_settings_warnings,
     read_report_fields,
+    read_setting_names,
     read_settings,
 )
 from swiftthread.network.address import parse_address
 from swiftthread.routing.settings import Settings
 
-# Keys that are read at a start alone: what is pending and in flight depends on them.
+# Keys that take effect only at a start, because the pending events and the attempts in flight depend on them.
 START_ONLY_KEYS = ("listen", "state", "limits", "settings")
 
 
@@ -25,8 +25,8 @@
     """The configuration of a node cannot be used.
 
     Attributes:
-        path: File of the configuration; None when none is named.
-        key: Key of the document that is at fault; None when it is the document itself.
+        path: Path of the configuration file; None if LB_CONFIG names none.
+        key: Key of the document whose value is wrong or missing; None if the whole document cannot be used.
     """
 
     def __init__(self, reason: str, path: str | None = None, key: str | None = None) -> None:
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NodeConfig:
-    """What a node is told at start. Addresses are (host, port)."""
+    """Configuration of one node. Addresses are (host, port)."""
 
     name: str
     listen: tuple[str, int]
@@ -45,47 +45,51 @@
     state_directory: str
     seed: int
     limits: Mapping[str, Any]
-    """What the machine grants: `sockets`, `disk_mb`, `memory_mb`."""
+    """Resource limits of the machine: `sockets`, `disk_mb`, `memory_mb`."""
     initial_list: dict[str, Any] | None
-    """Endpoint list in discovery's form, to start with; None where the watch is to tell the first."""
+    """Endpoint list to start with, in the format of discovery; None if the watch has to deliver the first."""
     settings: Settings
     names: SettingNames
     report_fields: Sequence[str]
     """Names of the load report's fields."""
     settings_warnings: Sequence[str]
-    """A line for each part of the settings that was read the cautious way."""
+    """A warning for each setting whose value is unclear and was interpreted conservatively."""
     start_only_values: Mapping[str, Any]
-    """The document's values of `START_ONLY_KEYS`."""
+    """Values of `START_ONLY_KEYS` in the document; None for a missing key."""
 
 
 def read_node_config(environ: Mapping[str, str], is_reload: bool = False) -> NodeConfig:
-    """Read the configuration that LB_CONFIG names; raises `ConfigurationError`.
+    """Read the configuration file that LB_CONFIG names.
 
     Args:
-        environ: LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_STATE win over the document.
-        is_reload: The node runs already. The document says where discovery is; LB_DISCOVERY is of the start.
+        environ: Environment variables. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_STATE override the document.
+        is_reload: Whether the node is running already. LB_DISCOVERY applies only to the start, so a reload
+            takes the address of discovery from the document.
+
+    Raises:
+        ConfigurationError: The configuration cannot be used.
     """
     path = environ.get("LB_CONFIG")
     if not path:
-        raise ConfigurationError("LB_CONFIG names no configuration")
+        raise ConfigurationError("the environment variable LB_CONFIG does not name a configuration file")
     document = _read_document(path)
-    with _checked(path, "name"):
+    with _converted_errors(path, "name"):
         name = environ.get("LB_NAME") or document["name"]
-    with _checked(path, "listen"):
+    with _converted_errors(path, "listen"):
         listen = parse_address(environ.get("LB_LISTEN") or document["listen"])
-    with _checked(path, "discovery"):
-        told_discovery = None if is_reload else environ.get("LB_DISCOVERY")
-        discovery = parse_address(told_discovery or document["discovery"])
-    with _checked(path, "state"):
+    with _converted_errors(path, "discovery"):
+        discovery_override = None if is_reload else environ.get("LB_DISCOVERY")
+        discovery = parse_address(discovery_override or document["discovery"])
+    with _converted_errors(path, "state"):
         state_directory = environ.get("LB_STATE") or document["state"]
-    with _checked(path, "seed"):
+    with _converted_errors(path, "seed"):
         seed = int(str(document["seed"]), 16)
-    with _checked(path, "settings"):
+    with _converted_errors(path, "settings"):
         settings_document = document["settings"]
         settings = read_settings(settings_document)
         report_fields = read_report_fields(settings_document)
-        settings_warnings = list(doubtful_settings(settings_document))
-        names = read_names(settings_document)
+        settings_warnings = list(find_settings_warnings(settings_document))
+        names = read_setting_names(settings_document)
     initial_list = document.get("known")
     return NodeConfig(
         name=name,
@@ -110,20 +114,20 @@
     except OSError as error:
         raise ConfigurationError(f"it cannot be read: {error.strerror}", path) from None
     except ValueError as error:
-        raise ConfigurationError(f"it is no JSON: {error}", path) from None
+        raise ConfigurationError(f"it is not valid JSON: {error}", path) from None
     if not isinstance(document, dict):
-        raise ConfigurationError("it cannot be read: it is no JSON object", path)
+        raise ConfigurationError("it cannot be read: it is not a JSON object", path)
     return document
 
 
 @contextlib.contextmanager
-def _checked(path: str, key: str) -> Iterator[None]:
-    """Errors of reading this key become `ConfigurationError`."""
+def _converted_errors(path: str, key: str) -> Iterator[None]:
+    """Convert errors of reading the value of a key to `ConfigurationError`."""
     try:
         yield
     except MalformedInput as error:
         raise ConfigurationError(str(error), path, key) from None
     except KeyError as error:
-        raise ConfigurationError(f"it lacks {error}", path, key) from None
+        raise ConfigurationError(f"the key {error} is missing", path, key) from None
     except (ValueError, TypeError, AttributeError) as error:
         raise ConfigurationError(f"{key} cannot be read: {error}", path, key) from None
--- a/swiftthread/configuration/settings_reader.py
+++ b/swiftthread/configuration/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads the settings document of a node, in the simulator's protocol and in the configuration file alike."""
+"""Reads the settings document of a node, from the configuration file or from the simulator's protocol."""
 
 import json
 import math
@@ -12,19 +12,18 @@
 """Effects by their names in the document."""
 DEDUPLICATION_GROUPS = ("all", "zone", "cell")
 DEFAULT_DEDUPLICATION_GROUP = "cell"
-"""Each endpoint a group of its own: the cautious reading."""
-
+"""Each endpoint is a separate group, which is the conservative interpretation of a missing value."""
 
 Name = TypeVar("Name", bound=str | None)
 
 
 class MalformedInput(Exception):
-    """The input is not what its format allows; the text says what and where."""
+    """The input does not follow its format; the text says which part is wrong and why."""
 
 
 @dataclass(frozen=True)
 class SettingNames:
-    """Numbers by which the router knows what the settings document names."""
+    """Numbers that the router uses for the names in the settings document."""
 
     stream_type_numbers: dict[str, int]
     kind_numbers: dict[str, int]
@@ -33,28 +32,32 @@
 
 
 def parse_settings(text: bytes | bytearray | memoryview) -> Any:
-    """Parse the settings document that the simulator sends; `MalformedInput` when it is no JSON."""
+    """Parse the settings document that the simulator sends.
+
+    Raises:
+        MalformedInput: The document is not valid JSON.
+    """
     try:
         return json.loads(bytes(text))
     except ValueError as error:
-        raise MalformedInput(f"the settings of an instance cannot be read: {error}") from None
+        raise MalformedInput(f"the settings document is not valid JSON: {error}") from None
 
 
 def read_settings(document: Mapping[str, Any]) -> Settings:
-    """The settings of a router; what the document leaves out has its default.
+    """Read the settings of a router; a setting that the document leaves out has its default value.
 
     Raises:
-        MalformedInput: A value is of the wrong form.
+        MalformedInput: A value has the wrong type or format.
     """
     try:
         values = _read_values(document)
     except (KeyError, ValueError, AttributeError, TypeError) as error:
-        raise MalformedInput(f"the settings of an instance cannot be read: {error}") from None
+        raise MalformedInput(f"the settings document cannot be read: {error}") from None
     return Settings(**{name: value for name, value in values.items() if value is not None})
 
 
 def _read_values(document: Mapping[str, Any]) -> dict[str, Any]:
-    """Fields of `Settings`; None where the document leaves one out."""
+    """Returns the fields of `Settings` by name; the value is None if the document leaves the setting out."""
     domain = document.get("Domain") or {}
     obligations = document.get("Obligations") or {}
     permissions = document.get("Permissions") or {}
@@ -91,19 +94,19 @@
 
 
 def read_report_fields(document: Mapping[str, Any]) -> Sequence[str]:
-    """Names of the load report's fields, in the order of the simulator's protocol."""
+    """Read the names of the load report's fields, in the order of the simulator's protocol."""
     return (document.get("Stats") or {}).get("Fields") or []
 
 
 def read_stream_type(number: int, profile: Mapping[str, Any]) -> StreamType:
-    """Read a stream type; what cannot be understood of its effect is read the cautious way.
+    """Read a stream type; an unknown effect or deduplication group is interpreted conservatively.
 
     Args:
-        number: Position of the profile in the document, for messages.
-        profile: The profile of the document.
+        number: Position of the profile in the document, for error messages.
+        profile: The profile from the document.
 
     Raises:
-        MalformedInput: A value is of the wrong form.
+        MalformedInput: A value has the wrong type or format.
     """
     effect_name: Any = profile.get("Effect")
     try:
@@ -121,45 +124,47 @@
         raise MalformedInput(f"the settings' Profiles[{number}] cannot be read: {error}") from None
 
 
-def doubtful_settings(document: Mapping[str, Any]) -> Iterator[str]:
-    """A line for each part of the settings that was read the cautious way."""
+def find_settings_warnings(document: Mapping[str, Any]) -> Iterator[str]:
+    """Yields a warning for each setting whose value is unclear and is interpreted conservatively."""
     for number, profile in enumerate(document.get("Profiles") or ()):
-        for doubt in _doubts(profile):
-            yield f"the settings' Profiles[{number}] ({profile.get('Name')}): {doubt}"
+        for warning in _stream_type_warnings(profile):
+            yield f"the settings' Profiles[{number}] ({profile.get('Name')}): {warning}"
 
 
-def _doubts(profile: Mapping[str, Any]) -> Iterator[str]:
+def _stream_type_warnings(profile: Mapping[str, Any]) -> Iterator[str]:
     effect = profile.get("Effect")
     if effect not in EFFECTS:
-        yield f"Effect is none of {', '.join(EFFECTS)}: {effect!r}; it is held to be non-idempotent"
+        yield f"Effect must be one of {', '.join(EFFECTS)}, not {effect!r}; it is treated as non-idempotent"
         return
     if EFFECTS[effect] != Effect.DEDUPLICATED:
         return
     group = profile.get("Group")
     if group not in DEDUPLICATION_GROUPS:
-        yield f"Group is none that is known: {group!r}; each endpoint is a group of its own"
+        yield f"Group is unknown: {group!r}; each endpoint is treated as a separate deduplication group"
     window_s = profile.get("Window")
     if not (window_s or 0.0) > 0.0:
-        yield f"Window is {window_s!r}; nothing that may have run is sent again"
+        yield f"Window is {window_s!r}, not a positive time; events that may have run are not sent again"
 
 
-def read_names(document: Mapping[str, Any]) -> SettingNames:
-    """The names that the configuration, discovery and clients use for what the router knows by number."""
+def read_setting_names(document: Mapping[str, Any]) -> SettingNames:
+    """Read the names that the configuration, discovery and clients use, with their numbers in the router."""
     return SettingNames(
-        stream_type_numbers=_numbers_of(profile.get("Name") for profile in document.get("Profiles") or ()),
-        kind_numbers=_numbers_of(document.get("Kinds")),
-        zone_numbers=_numbers_of(document.get("Localities")),
-        tenant_numbers=_numbers_of(tenant.get("Name") for tenant in document.get("Realms") or ()),
+        stream_type_numbers=_number_by_name(
+            profile.get("Name") for profile in document.get("Profiles") or ()
+        ),
+        kind_numbers=_number_by_name(document.get("Kinds")),
+        zone_numbers=_number_by_name(document.get("Localities")),
+        tenant_numbers=_number_by_name(tenant.get("Name") for tenant in document.get("Realms") or ()),
     )
 
 
-def _numbers_of(names: Iterable[Name] | None) -> dict[Name, int]:
+def _number_by_name(names: Iterable[Name] | None) -> dict[Name, int]:
     return {name: number for number, name in enumerate(names or ())}
 
 
 def _to_ms(seconds: float | None) -> float:
-    """Seconds (None: 0) as ms; ValueError unless finite."""
+    """Convert seconds to ms, None to 0; raises ValueError if the result is not finite."""
     value = 1000.0 * (seconds or 0.0)
     if not math.isfinite(value):
-        raise ValueError(f"{seconds} is no length of time")
+        raise ValueError(f"{seconds} is not a finite duration")
     return value
--- a/tests/configuration/test_node_config.py
+++ b/tests/configuration/test_node_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a node: what it says, what wins over it, and errors that name file and key."""
+"""The configuration of a node: its values, environment variables that override it, and error messages."""
 
 import json
 import math
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def write_config(tmp_path):
-    """Writes a document, or a text, and returns the environment that names its file."""
+    """Returns a function that writes a document or text and returns the environment that names its file."""
 
     def write(document):
         path = tmp_path / "config.json"
@@ -45,14 +45,14 @@
     assert config.listen == ("127.0.0.1", 9000) and config.discovery == ("127.0.0.1", 9001)
     assert config.limits == {"sockets": 96} and config.initial_list == {"servers": []}
     assert config.settings.stream_types[0].effect == Effect.IDEMPOTENT
-    assert config.settings.max_pending_events == math.inf  # left out
+    assert config.settings.max_pending_events == math.inf  # the document leaves it out
     assert config.names.stream_type_numbers == {"notice": 0} and config.names.tenant_numbers == {"retail": 0}
     assert config.names.kind_numbers == {"plain": 0, "batch": 1} and config.names.zone_numbers == {"east": 0}
     assert config.report_fields == ["x0", "x1"] and config.settings_warnings == []
     assert config.start_only_values["listen"] == "127.0.0.1:9000"
 
 
-def test_the_environment_wins_at_a_start_and_for_discovery_not_at_a_reload(write_config):
+def test_the_environment_overrides_the_document_except_for_discovery_at_a_reload(write_config):
     environ = write_config(DOCUMENT) | {
         "LB_NAME": "n7",
         "LB_LISTEN": "127.0.0.1:7000",
@@ -68,9 +68,9 @@
 @pytest.mark.parametrize(
     "document, key, reason",
     [
-        ("{", None, "it is no JSON"),
-        ("[]", None, "it cannot be read"),
-        ({}, "name", "it lacks 'name'"),
+        ("{", None, "it is not valid JSON"),
+        ("[]", None, "it cannot be read: it is not a JSON object"),
+        ({}, "name", "the key 'name' is missing"),
         (DOCUMENT | {"listen": "x"}, "listen", "listen cannot be read: no address: 'x'"),
         (DOCUMENT | {"discovery": 7}, "discovery", "discovery cannot be read"),
         (DOCUMENT | {"seed": "none"}, "seed", "seed cannot be read"),
@@ -79,7 +79,7 @@
         (DOCUMENT | {"settings": {"Profiles": [{"Aim": "long"}]}}, "settings", "Profiles[0] cannot be read"),
     ],
 )
-def test_an_error_names_file_and_key(write_config, document, key, reason):
+def test_an_error_names_the_file_and_the_key(write_config, document, key, reason):
     environ = write_config(document)
     with pytest.raises(ConfigurationError) as raised:
         read_node_config(environ)
@@ -88,8 +88,10 @@
     assert "\n" not in str(raised.value) and isinstance(raised.value, MalformedInput)
 
 
-def test_a_missing_file_and_a_missing_name_are_told_apart(tmp_path):
-    with pytest.raises(ConfigurationError, match="LB_CONFIG names no configuration"):
+def test_a_missing_file_and_an_unset_variable_have_different_errors(tmp_path):
+    with pytest.raises(
+        ConfigurationError, match="the environment variable LB_CONFIG does not name a configuration file"
+    ):
         read_node_config({})
     with pytest.raises(ConfigurationError, match=r"gone\.json: it cannot be read: No such file"):
         read_node_config({"LB_CONFIG": str(tmp_path / "gone.json")})
--- a/tests/configuration/test_unclear_settings.py
+++ b/tests/configuration/test_unclear_settings.py
@@ -1,4 +1,4 @@
-"""Settings and names that are unclear: read the cautious way and reported, or refused in one line."""
+"""Unclear settings and names: interpreted conservatively and reported, or rejected with a one-line error."""
 
 import anyio
 import pytest
@@ -10,23 +10,25 @@
 from swiftthread.client.discovery_client import DiscoveryClient
 
 
-def test_a_zone_that_the_settings_do_not_name_is_a_group_of_its_own():
-    async def zones(*names):
+def test_each_zone_missing_from_the_settings_is_a_separate_group():
+    async def read_zones(*names):
         discovery = DiscoveryClient(("127.0.0.1", 1), None, {}, {"east": 0, "west": 1}, 0.0, 0.0)
-        rows = [
+        entries = [
             {"id": f"s-{number}", "addr": "127.0.0.1:9", "cell": 1, "state": "SERVING"}
             | ({"zone": name} if name != "-" else {})
             for number, name in enumerate(names)
         ]
-        return [row[2] for row in discovery.parse_list({"version": 1, "full": True, "servers": rows})[0]]
+        return [
+            entry[2] for entry in discovery.parse_list({"version": 1, "full": True, "servers": entries})[0]
+        ]
 
     names = "east", "west", "north", "north", "south", "-", None, ["east"], 7
-    seen = anyio.run(zones, *names)
-    assert seen[:2] == [0, 1] and seen[2] == seen[3] and len(set(seen)) == len(seen) - 1
-    assert anyio.run(zones, *names) == seen  # also after a restart
+    zones = anyio.run(read_zones, *names)
+    assert zones[:2] == [0, 1] and zones[2] == zones[3] and len(set(zones)) == len(zones) - 1
+    assert anyio.run(read_zones, *names) == zones  # a second client, as after a restart, agrees
 
 
-def test_events_of_an_unnamed_zone_pay_no_fee_and_go_on():
+def test_an_endpoint_in_a_zone_without_carriage_cost_is_used():
     run = SimulatedNode(
         [("a", 0, 70000, 0, 0.0, True)],
         stream_types=[IDEMPOTENT],
@@ -38,20 +40,20 @@
 
 
 @pytest.mark.parametrize(
-    "profile, said",
+    "profile, warning",
     [
         (
             {"Effect": "unique"},
-            "Effect is none of retryable, dedup, fragile: 'unique'; it is held to be non-idempotent",
+            "Effect must be one of retryable, dedup, fragile, not 'unique'; it is treated as non-idempotent",
         ),
         (
             {"Group": "continent"},
-            "Group is none that is known: 'continent'; each endpoint is a group of its own",
+            "Group is unknown: 'continent'; each endpoint is treated as a separate deduplication group",
         ),
-        ({"Window": None}, "nothing that may have run is sent again"),
+        ({"Window": None}, "events that may have run are not sent again"),
     ],
 )
-def test_what_is_unclear_of_a_stream_type_is_read_the_cautious_way_and_named(tmp_path, profile, said):
+def test_an_unclear_stream_type_is_interpreted_conservatively_and_reported(tmp_path, profile, warning):
     first, second = FakeEndpoint("reset", "reset"), FakeEndpoint("reset", "reset", ident="s-2")
     with NodeProcess(
         tmp_path,
@@ -62,20 +64,20 @@
         assert node.submit("posting", left="2000m", **{"Idempotency-Key": "k"}) == 202
         wait_until(lambda: node.final_outcomes() == {"evt-1": "given_up"})
         assert not (first.calls and second.calls)
-        assert "the settings' Profiles[0] (posting): " in (text := node.stop_and_read_log()) and said in text
+        assert "the settings' Profiles[0] (posting): " in (log := node.stop_and_read_log()) and warning in log
 
 
 @pytest.mark.parametrize(
     "profile", [{"Window": float("nan")}, {"Window": "3 s"}, {"Deadline": float("inf")}, {"Effect": []}]
 )
-def test_a_length_of_time_that_is_none_ends_the_start_in_one_line(tmp_path, profile):
+def test_an_unusable_stream_type_fails_the_start_with_one_line(tmp_path, profile):
     program = NodeProcess(
         tmp_path,
         FakeEndpoint(),
         Profiles=[stream_profile("a", "retryable"), stream_profile("b", "dedup", Window=3.0) | profile],
     )
-    with pytest.raises(AssertionError) as told:
+    with pytest.raises(AssertionError) as raised:
         program.start()
     program.process.wait(), program.process.stderr.close(), program.discovery.listener.close()
-    assert program.process.returncode == 2 and str(told.value).count("\\n") <= 1
-    assert f"{program.conf}: the settings' Profiles[1] cannot be read" in str(told.value)
+    assert program.process.returncode == 2 and str(raised.value).count("\\n") <= 1
+    assert f"{program.conf}: the settings' Profiles[1] cannot be read" in str(raised.value)
--- a/tests/node/test_node_configuration.py
+++ b/tests/node/test_node_configuration.py
@@ -12,9 +12,9 @@
     "text, said",
     [
         (None, "cannot be read"),
-        ("{", "is no JSON"),
+        ("{", "is not valid JSON"),
         ("[]", "cannot be read"),
-        ('{"name": "n"}', "lacks"),
+        ('{"name": "n"}', "the key 'listen' is missing"),
         ('{"name": "n", "listen": "x", "discovery": "y:1"}', "no address"),
         (
             json.dumps(
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -126,7 +126,7 @@
         ),
         (
             frame(1, 1.0, [record(RecordCode.START_INSTANCE, INSTANCE, 1, 0, 4)], b"{x]}"),
-            "the settings of an instance cannot be read",
+            "the settings document is not valid JSON",
         ),
         (frame(1, 1.0, [record(RecordCode.LIST_ENTRIES, 0, 0, 3)], b"short"), "the tail has 5 bytes"),
     ],
--- a/tests/storage/test_full_disk.py
+++ b/tests/storage/test_full_disk.py
@@ -74,7 +74,7 @@
 
 
 def test_a_partial_write_is_cut_off_before_the_next_append(tmp_path, monkeypatch):
-    """A partial record left in the file would make it and all later records, also of sends, unreadable."""
+    """If it stayed in the file, the next start could not read it and all later records, also of sends."""
     log = open_log(tmp_path)
     events = [pending_event("evt-0"), pending_event("evt-1")]
     assert all(map(log.append_accepted, events))
