--- a/swiftthread/configuration/__init__.py
+++ b/swiftthread/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Reads the configuration of a node and the settings of its router, checks them, and returns typed values."""
+"""Reads and checks the configuration of a node and the settings of its router once, into typed values."""
--- a/swiftthread/configuration/node_config.py
+++ b/swiftthread/configuration/node_config.py
@@ -1,4 +1,4 @@
-"""Configuration of a node: reads and checks the JSON file that the environment variable LB_CONFIG names."""
+"""Configuration of a node: the JSON file that the variable LB_CONFIG names, read and checked once."""
 
 import contextlib
 import json
@@ -17,7 +17,7 @@
 from swiftthread.network.address import parse_address
 from swiftthread.routing.settings import Settings
 
-# Keys that take effect only at a start, because the pending events and the attempts in flight depend on them.
+# Keys that are read only at startup, because the pending events and the attempts in flight depend on them.
 START_ONLY_KEYS = ("listen", "state", "limits", "settings")
 
 
@@ -63,7 +63,7 @@
 
     Args:
         environ: Environment variables. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_STATE override the document.
-        is_reload: Whether the node is running already. LB_DISCOVERY applies only to the start, so a reload
+        is_reload: Whether the node is running already. LB_DISCOVERY applies only at startup, so a reload
             takes the address of discovery from the document.
 
     Raises:
@@ -128,6 +128,6 @@
     except MalformedInput as error:
         raise ConfigurationError(str(error), path, key) from None
     except KeyError as error:
-        raise ConfigurationError(f"the key {error} is missing", path, key) from None
+        raise ConfigurationError(f"missing key {error}", path, key) from None
     except (ValueError, TypeError, AttributeError) as error:
         raise ConfigurationError(f"{key} cannot be read: {error}", path, key) from None
--- a/swiftthread/storage/pending_event.py
+++ b/swiftthread/storage/pending_event.py
@@ -23,7 +23,7 @@
 
 
 UNKNOWN_EXECUTION = PossibleExecution(0.0, None)
-"""Stands for a send of unknown time and group: long ago (time 0), and in no group."""
+"""A possible execution of unknown time and group: it counts as long ago (time 0) and as in no group."""
 
 
 @dataclass(slots=True, eq=False)
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -99,7 +99,7 @@
         return self._table.live_bytes
 
     def latest_send_at(self) -> float:
-        """Returns the time of the latest send of a pending event, the latest time in the log; 0 if none."""
+        """Returns the latest time stored in the log, that of a send of a pending event; 0 if none is."""
         sends = [
             send.sent_at
             for pending in self.pending.values()
--- a/tests/configuration/test_node_config.py
+++ b/tests/configuration/test_node_config.py
@@ -70,7 +70,7 @@
     [
         ("{", None, "it is not valid JSON"),
         ("[]", None, "it cannot be read: it is not a JSON object"),
-        ({}, "name", "the key 'name' is missing"),
+        ({}, "name", "missing key 'name'"),
         (DOCUMENT | {"listen": "x"}, "listen", "listen cannot be read: no address: 'x'"),
         (DOCUMENT | {"discovery": 7}, "discovery", "discovery cannot be read"),
         (DOCUMENT | {"seed": "none"}, "seed", "seed cannot be read"),
--- a/tests/configuration/test_unclear_settings.py
+++ b/tests/configuration/test_unclear_settings.py
@@ -50,7 +50,10 @@
             {"Group": "continent"},
             "Group is unknown: 'continent'; each endpoint is treated as a separate deduplication group",
         ),
-        ({"Window": None}, "events that may have run are not sent again"),
+        (
+            {"Window": None},
+            "Window is None, not a positive time; events that may have run are not sent again",
+        ),
     ],
 )
 def test_an_unclear_stream_type_is_interpreted_conservatively_and_reported(tmp_path, profile, warning):
--- a/tests/node/test_node_configuration.py
+++ b/tests/node/test_node_configuration.py
@@ -14,7 +14,7 @@
         (None, "cannot be read"),
         ("{", "is not valid JSON"),
         ("[]", "cannot be read"),
-        ('{"name": "n"}', "the key 'listen' is missing"),
+        ('{"name": "n"}', "missing key 'listen'"),
         ('{"name": "n", "listen": "x", "discovery": "y:1"}', "no address"),
         (
             json.dumps(
