--- a/swiftthread/client/result_notifier.py
+++ b/swiftthread/client/result_notifier.py
@@ -114,7 +114,7 @@
     def _close_unless_usable(self, address: tuple[str, int]) -> None:
         if self.connection is None:
             return
-        if self.connected_to != address or not self.connection.is_untouched():
+        if self.connected_to != address or not self.connection.has_nothing_to_read():
             self._close()
 
     def _close(self) -> None:
--- a/swiftthread/network/connection.py
+++ b/swiftthread/network/connection.py
@@ -131,7 +131,7 @@
             # Closed here while this task waited.
             raise ConnectionClosed(request_was_written=True) from None
 
-    def is_untouched(self) -> bool:
+    def has_nothing_to_read(self) -> bool:
         """Whether nothing has arrived since the last read: neither the peer's end nor stray bytes."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
--- a/swiftthread/network/connection_pool.py
+++ b/swiftthread/network/connection_pool.py
@@ -35,7 +35,7 @@
         self.close_expired()
         while key in self.idle:
             connection = self._take_newest(key)
-            if connection.is_untouched():
+            if connection.has_nothing_to_read():
                 return connection
             connection.close()
         return None
--- a/swiftthread/server/connection_table.py
+++ b/swiftthread/server/connection_table.py
@@ -94,14 +94,14 @@
             new_since: New connections are spared that were accepted after this moment, s on the loop's clock.
         """
         for connection, since in self.quiet():
-            if connection.is_untouched() and (
+            if connection.has_nothing_to_read() and (
                 since <= new_since or self.state_of(connection) is not ConnectionState.NEW
             ):
                 self.begin_close(connection)
 
     def has_unread_request(self) -> bool:
         """Whether something has arrived on a quiet connection."""
-        return not all(connection.is_untouched() for connection, _ in self.quiet())
+        return not all(connection.has_nothing_to_read() for connection, _ in self.quiet())
 
     def evict_one(self) -> bool:
         """Make room: close a connection, or begin to close one that loses nothing by it.
@@ -119,7 +119,7 @@
             if state is ConnectionState.CLOSING or state is ConnectionState.IN_REQUEST:
                 self.close(connection)
                 return True
-            if connection.is_untouched():
+            if connection.has_nothing_to_read():
                 self.begin_close(connection)
                 return True
         return False
--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -58,9 +58,9 @@
         buffers: BufferPool,
         limits: ConnectionLimits,
         log_clock: Callable[[], float],
-        first_request_ms: float,
-        request_ms: float,
-        idle_ms: float,
+        first_request_timeout_ms: float,
+        request_timeout_ms: float,
+        idle_timeout_ms: float,
         admission: Admission,
         request_cycle: Callable[[], None],
     ) -> None:
@@ -72,9 +72,9 @@
             buffers: Receive buffers.
             limits: How many connections clients may have.
             log_clock: Gives ms on the clock of the log.
-            first_request_ms: From the accept to the last byte of a connection's first request.
-            request_ms: From the first byte of a request to its last.
-            idle_ms: From an answer to the first byte of the next request.
+            first_request_timeout_ms: From the accept to the last byte of a connection's first request.
+            request_timeout_ms: From the first byte of a request to its last.
+            idle_timeout_ms: From an answer to the first byte of the next request.
             admission: Bounds how many requests may be read.
             request_cycle: Asks the scheduler for a cycle, in which `admit_waiting` is to be called.
         """
@@ -87,7 +87,12 @@
         self._request_cycle = request_cycle
         self._admission_queue = AdmissionQueue(admission, request_cycle)
         self._reader = RequestReader(
-            self.connections, self._admission_queue, log_clock, first_request_ms, request_ms, idle_ms
+            self.connections,
+            self._admission_queue,
+            log_clock,
+            first_request_timeout_ms,
+            request_timeout_ms,
+            idle_timeout_ms,
         )
 
     async def serve(self, listener: socket.socket, tasks: TaskGroup) -> None:
--- a/swiftthread/server/request_reader.py
+++ b/swiftthread/server/request_reader.py
@@ -25,9 +25,9 @@
         connections: ConnectionTable,
         admission_queue: AdmissionQueue,
         log_clock: Callable[[], float],
-        first_request_ms: float,
-        request_ms: float,
-        idle_ms: float,
+        first_request_timeout_ms: float,
+        request_timeout_ms: float,
+        idle_timeout_ms: float,
     ) -> None:
         """Create a reader.
 
@@ -35,16 +35,16 @@
             connections: States of the connections.
             admission_queue: Where a request waits before it is read.
             log_clock: Gives ms on the clock of the log.
-            first_request_ms: From the accept to the last byte of the first request.
-            request_ms: From the first byte of a request to its last.
-            idle_ms: From an answer to the first byte of the next request.
+            first_request_timeout_ms: From the accept to the last byte of the first request.
+            request_timeout_ms: From the first byte of a request to its last.
+            idle_timeout_ms: From an answer to the first byte of the next request.
         """
         self._connections = connections
         self._admission_queue = admission_queue
         self._log_clock = log_clock
-        self._first_request_ms = first_request_ms
-        self._request_ms = request_ms
-        self._idle_ms = idle_ms
+        self._first_request_timeout_ms = first_request_timeout_ms
+        self._request_timeout_ms = request_timeout_ms
+        self._idle_timeout_ms = idle_timeout_ms
 
     async def read(self, connection: Connection, is_first: bool) -> Request:
         """Wait for the next request and read it.
@@ -57,13 +57,13 @@
             BadRequest: it is malformed or takes too long.
             ConnectionClosed: the connection ended, or no request came in time.
         """
-        timeout_s = (self._first_request_ms if is_first else self._idle_ms) / 1000.0
+        timeout_s = (self._first_request_timeout_ms if is_first else self._idle_timeout_ms) / 1000.0
         while True:
             with anyio.move_on_after(timeout_s) as timeout:
                 return await self._read_parts(connection, is_first, timeout)
             if self._connections.state_of(connection) is IN_REQUEST:
                 raise BadRequest(HttpStatus.REQUEST_TIMEOUT)
-            if connection.is_untouched() or not connection.read_available():
+            if connection.has_nothing_to_read() or not connection.read_available():
                 raise ConnectionClosed(request_was_written=True)
             # Its first bytes arrived at the same moment as the timeout.
 
@@ -98,7 +98,7 @@
 
     def _begin_request(self, connection: Connection, is_first: bool, timeout: anyio.CancelScope) -> None:
         self._connections.move(connection, IN_REQUEST)
-        deadline = anyio.current_time() + self._request_ms / 1000.0
+        deadline = anyio.current_time() + self._request_timeout_ms / 1000.0
         timeout.deadline = min(deadline, timeout.deadline) if is_first else deadline
 
     @staticmethod
--- a/swiftthread/service/composition.py
+++ b/swiftthread/service/composition.py
@@ -164,9 +164,9 @@
             buffers=self._buffers,
             limits=self._limits,
             log_clock=self._log_clock,
-            first_request_ms=FIRST_REQUEST_TIMEOUT_MS,
-            request_ms=REQUEST_TIMEOUT_MS,
-            idle_ms=CLIENT_IDLE_TIMEOUT_MS,
+            first_request_timeout_ms=FIRST_REQUEST_TIMEOUT_MS,
+            request_timeout_ms=REQUEST_TIMEOUT_MS,
+            idle_timeout_ms=CLIENT_IDLE_TIMEOUT_MS,
             admission=self._admission,
             request_cycle=self._scheduler.request_cycle,
         )
--- a/tests/network/test_connection_pool.py
+++ b/tests/network/test_connection_pool.py
@@ -16,7 +16,7 @@
         self.is_closed = False
         self.has_ended = False
 
-    def is_untouched(self):
+    def has_nothing_to_read(self):
         return not self.has_ended
 
     def close(self):
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -35,7 +35,7 @@
 class InProcessServer:
     """A server of this process, and clients of it. `admitted`: the ids of the events that it admitted."""
 
-    def __init__(self, tasks, idle_ms=60000.0):
+    def __init__(self, tasks, idle_timeout_ms=60000.0):
         self.admitted = []
         self.tasks = tasks
         self.listener = open_listener(("127.0.0.1", 0), 64)
@@ -45,9 +45,9 @@
             buffers=BufferPool(),
             limits=Limits({"sockets": 256}, 8, 5000.0, 500.0),
             log_clock=lambda: 0.0,
-            first_request_ms=60000.0,
-            request_ms=60000.0,
-            idle_ms=idle_ms,
+            first_request_timeout_ms=60000.0,
+            request_timeout_ms=60000.0,
+            idle_timeout_ms=idle_timeout_ms,
             admission=AdmissionController(5.0),
             request_cycle=lambda: None,
         )
@@ -98,17 +98,17 @@
 
 def send_after_idle_check(monkeypatch, client):
     """A request of the client's arrives right after its connection was found to be untouched."""
-    is_untouched = Connection.is_untouched
+    has_nothing_to_read = Connection.has_nothing_to_read
 
     def check_and_send(connection):
-        was_untouched = is_untouched(connection)
+        was_untouched = has_nothing_to_read(connection)
         if was_untouched and connection.socket.getpeername() == client.getsockname():
             client.sendall(REQUEST % (b"crossed", 0))
             while not unread_bytes(connection.socket):
                 pass
         return was_untouched
 
-    monkeypatch.setattr(Connection, "is_untouched", check_and_send)
+    monkeypatch.setattr(Connection, "has_nothing_to_read", check_and_send)
 
 
 @pytest.mark.parametrize("cause", ["shutdown", "eviction", "idle time", "end of shutdown"])
@@ -129,7 +129,7 @@
         await in_process.all_closed()
         assert in_process.admitted == ["first"]
 
-    run_with_server(test, idle_ms=100.0 if cause == "idle time" else 60000.0)
+    run_with_server(test, idle_timeout_ms=100.0 if cause == "idle time" else 60000.0)
 
 
 def test_a_client_that_never_closes_is_closed_in_time():
--- a/tests/server/test_connection_table.py
+++ b/tests/server/test_connection_table.py
@@ -15,7 +15,7 @@
         self.is_closed = False
         self.is_shut_down = False
 
-    def is_untouched(self):
+    def has_nothing_to_read(self):
         return not self.has_unread_bytes
 
     def close(self):
