--- a/swiftthread/server/admission_queue.py
+++ b/swiftthread/server/admission_queue.py
@@ -1,4 +1,4 @@
-"""Connections whose next request waits, unread, until the node has capacity for it."""
+"""Queue of connections whose next request stays unread until the node has capacity for it."""
 
 from collections import deque
 from collections.abc import Callable
@@ -9,16 +9,19 @@
 
 from swiftthread.network.connection import Connection, ConnectionClosed
 
-# Waits of the longest waiting connection. A client waits 0.4 s for its answer, its connect counted in.
-NEWEST_FIRST_AFTER_S = 0.15  # the oldest would each be read just too late from here on
-ABANDONED_AFTER_S = 0.35  # a client that has closed by now has given up
+# Both limits apply to the longest waiting connection. A client waits 0.4 s for its response, including the
+# time that it takes to connect.
+NEWEST_FIRST_AFTER_S = (
+    0.15  # from here on, reading in order of arrival would reach each request just too late
+)
+GIVEN_UP_AFTER_S = 0.35  # a client that has closed its connection by now has given up
 
 
-class Admission(Protocol):
-    """Bounds how many requests may be read."""
+class AdmissionPolicy(Protocol):
+    """Limits how many requests may be read."""
 
     def try_admit(self) -> bool:
-        """Whether one more request may be read now; if so it is counted."""
+        """Return whether one more request may be read now, and count it if so."""
 
 
 @dataclass(slots=True, eq=False)
@@ -26,22 +29,22 @@
     """A connection whose request waits to be read."""
 
     connection: Connection
-    since: float = field(default_factory=anyio.current_time)
-    """When the wait began, s on the loop's clock."""
-    wait_is_over: anyio.Event = field(default_factory=anyio.Event)
-    is_abandoned: bool = False
-    """The client has given up; its request is not read."""
+    waiting_since: float = field(default_factory=anyio.current_time)
+    """When the wait began, in s on the event loop's clock."""
+    wait_finished: anyio.Event = field(default_factory=anyio.Event)
+    client_gave_up: bool = False
+    """Whether the client has closed the connection; its request is then not read."""
 
 
 class AdmissionQueue:
-    """Owner of the waiting connections, the longest waiting first."""
+    """Holds the waiting connections, the longest waiting first."""
 
-    def __init__(self, admission: Admission, request_cycle: Callable[[], None]) -> None:
+    def __init__(self, admission: AdmissionPolicy, request_cycle: Callable[[], None]) -> None:
         """Create an empty queue.
 
         Args:
-            admission: Bounds how many requests may be read.
-            request_cycle: Asks the scheduler for a scheduling cycle, in which `admit_waiting` is called.
+            admission: Limits how many requests may be read.
+            request_cycle: Requests a scheduling cycle, during which `admit_waiting` is called.
         """
         self._admission = admission
         self._request_cycle = request_cycle
@@ -54,7 +57,7 @@
         """Wait until the connection's request may be read.
 
         Raises:
-            ConnectionClosed: the client gave up.
+            ConnectionClosed: The client gave up.
         """
         if not self._waiting and self._admission.try_admit():
             return
@@ -62,32 +65,33 @@
         self._waiting.append(waiting)
         self._request_cycle()
         try:
-            await waiting.wait_is_over.wait()
+            await waiting.wait_finished.wait()
         finally:
-            if not waiting.wait_is_over.is_set():
+            if not waiting.wait_finished.is_set():
                 self._waiting.remove(waiting)
-        if waiting.is_abandoned:
+        if waiting.client_gave_up:
             raise ConnectionClosed(request_was_written=True)
 
     def admit_waiting(self) -> None:
-        """Admit as many as may be read in this scheduling cycle.
+        """Admit as many waiting connections as may be read in this scheduling cycle.
 
-        The longest waiting go first, but once that one's client is about to give up, the newest do: else each
-        would be read just too late. Clients that gave up go without being read.
+        The longest waiting connection is admitted first. Once its client is about to give up, the newest is
+        admitted first instead: in order of arrival, every request would be read just too late. Connections
+        whose clients have given up are removed unread.
         """
         now = anyio.current_time()
-        self._drop_abandoned(now)
+        self._remove_given_up(now)
         while self._waiting and self._admission.try_admit():
-            is_newest_first = now - self._waiting[0].since > NEWEST_FIRST_AFTER_S
+            is_newest_first = now - self._waiting[0].waiting_since > NEWEST_FIRST_AFTER_S
             waiting = self._waiting.pop() if is_newest_first else self._waiting.popleft()
-            waiting.wait_is_over.set()
+            waiting.wait_finished.set()
 
-    def _drop_abandoned(self, now: float) -> None:
+    def _remove_given_up(self, now: float) -> None:
         while (
             self._waiting
-            and now - self._waiting[0].since > ABANDONED_AFTER_S
+            and now - self._waiting[0].waiting_since > GIVEN_UP_AFTER_S
             and self._waiting[0].connection.peer_has_closed()
         ):
             waiting = self._waiting.popleft()
-            waiting.is_abandoned = True
-            waiting.wait_is_over.set()
+            waiting.client_gave_up = True
+            waiting.wait_finished.set()
--- a/swiftthread/server/connection_table.py
+++ b/swiftthread/server/connection_table.py
@@ -1,4 +1,4 @@
-"""The accepted connections by state, and which of them makes room for the next. No waiting happens here."""
+"""Accepted connections by state, and the choice of the one to evict for the next. Nothing here waits."""
 
 import math
 from collections.abc import ItemsView
@@ -8,43 +8,45 @@
 
 from swiftthread.network.connection import Connection, ConnectionClosed
 
-# Ages at which a connection may be evicted. A client waits 0.4 s for its answer, its connect counted in.
-NEW_GRACE_S = 0.25  # without a request: it may be on its way
-REQUEST_GRACE_S = 0.45  # in a request: the client has given up by then
+# A connection may be evicted once it has been in its state for this time. A client waits 0.4 s for its
+# response, including the time that it takes to connect.
+NEW_GRACE_S = 0.25  # before that, the first request may still be on its way
+REQUEST_GRACE_S = 0.45  # by then, the client has given up
 
 
 class ConnectionState(IntEnum):
-    """What an accepted connection is doing, in the order in which states are evicted."""
+    """State of an accepted connection. Connections are evicted in the order of these values."""
 
     CLOSING = 0
-    """Our side is shut down, or about to be; what still arrives is read and dropped."""
+    """The node has shut down its side or is about to; bytes that still arrive are read and discarded."""
     NEW = 1
-    """Nothing has arrived yet."""
+    """Accepted; no bytes have been read from it."""
     IN_REQUEST = 2
-    """From the first byte of a request to the last of its answer."""
+    """Between the first byte of a request and the last byte of its response."""
     IDLE_WITHOUT_EVENT = 3
-    """Between requests; none of them submitted an event, but asked after the node's health, say."""
+    """Between requests, none of which submitted an event (only health checks, for example)."""
     IDLE_CLIENT = 4
-    """Between requests, of which at least one submitted an event."""
+    """Between requests, at least one of which submitted an event."""
 
 
-# Between two requests, or before the first.
-QUIET_STATES = (ConnectionState.NEW, ConnectionState.IDLE_WITHOUT_EVENT, ConnectionState.IDLE_CLIENT)
+# States between two requests, or before the first.
+INACTIVE_STATES = (ConnectionState.NEW, ConnectionState.IDLE_WITHOUT_EVENT, ConnectionState.IDLE_CLIENT)
 
 
 class ConnectionTable:
-    """Owner of the accepted connections, from the accept to the close."""
+    """Holds the accepted connections, from the accept to the close."""
 
     def __init__(self) -> None:
         self._state: dict[Connection, ConnectionState] = {}
-        # Indexed by state: connection -> when it entered the state (s on the loop's clock), longest first.
+        # Indexed by state. Maps each connection to when it entered the state, in s on the event loop's clock;
+        # the connection that has been in the state longest comes first.
         self._entered_at: list[dict[Connection, float]] = [{} for _ in ConnectionState]
 
     def __len__(self) -> int:
         return len(self._state)
 
     def state_of(self, connection: Connection) -> ConnectionState | None:
-        """Return the connection's state; None once it is closed."""
+        """Return the connection's state, or None once it is closed."""
         return self._state.get(connection)
 
     def count(self, state: ConnectionState) -> int:
@@ -52,69 +54,70 @@
         return len(self._entered_at[state])
 
     def in_state(self, state: ConnectionState) -> ItemsView[Connection, float]:
-        """Return the connections of a state and when they entered it, longest first."""
+        """Return the connections in a state and when each entered it, the earliest first."""
         return self._entered_at[state].items()
 
-    def quiet(self) -> list[tuple[Connection, float]]:
-        """Return the connections on which no request is being read, and when they entered their state."""
-        return [entry for state in QUIET_STATES for entry in self._entered_at[state].items()]
+    def inactive(self) -> list[tuple[Connection, float]]:
+        """Return the connections without a request in progress, and when each entered its state."""
+        return [entry for state in INACTIVE_STATES for entry in self._entered_at[state].items()]
 
     def add(self, connection: Connection) -> None:
-        """Take in an accepted connection."""
+        """Add a connection that was just accepted."""
         self._enter(connection, ConnectionState.NEW)
 
     def move(self, connection: Connection, state: ConnectionState) -> None:
         """Change a connection's state.
 
         Raises:
-            ConnectionClosed: the connection was closed meanwhile.
+            ConnectionClosed: The connection has been closed in the meantime.
         """
         if not self._remove(connection):
             raise ConnectionClosed(request_was_written=True)
         self._enter(connection, state)
 
     def close(self, connection: Connection) -> None:
-        """Close a connection, unless that is done."""
+        """Close a connection unless it is closed already."""
         if self._remove(connection):
             connection.close()
 
     def begin_close(self, connection: Connection) -> None:
-        """End our side of a quiet connection; its task then waits for the client to close too.
+        """Shut down the node's side of an inactive connection; its task then waits for the client to close.
 
-        The client may have written a request meanwhile. It is not taken on, for its answer could not go any
-        more, and the client may submit it elsewhere.
+        The client may have written a request in the meantime. It is not accepted, because its response could
+        no longer be sent, and the client may submit it elsewhere.
         """
         self.move(connection, ConnectionState.CLOSING)
         connection.shutdown_write()
 
-    def begin_close_of_quiet(self, new_since: float) -> None:
-        """Begin to close all connections on which nothing has arrived.
+    def begin_close_of_inactive(self, new_accepted_by: float) -> None:
+        """Begin to close all inactive connections on which nothing has arrived.
 
         Args:
-            new_since: New connections are spared that were accepted after this moment, s on the loop's clock.
+            new_accepted_by: Connections in state NEW are closed only if they were accepted no later than this
+                time, in s on the event loop's clock.
         """
-        for connection, since in self.quiet():
+        for connection, entered_at in self.inactive():
             if connection.has_nothing_to_read() and (
-                since <= new_since or self.state_of(connection) is not ConnectionState.NEW
+                entered_at <= new_accepted_by or self.state_of(connection) is not ConnectionState.NEW
             ):
                 self.begin_close(connection)
 
     def has_unread_request(self) -> bool:
-        """Whether something has arrived on a quiet connection."""
-        return not all(connection.has_nothing_to_read() for connection, _ in self.quiet())
+        """Return whether anything has arrived on an inactive connection that was not read yet."""
+        return not all(connection.has_nothing_to_read() for connection, _ in self.inactive())
 
     def evict_one(self) -> bool:
-        """Make room: close a connection, or begin to close one that loses nothing by it.
+        """Close a connection, or begin to close one on which no request has arrived, to free capacity.
 
         Returns:
-            Whether there was one.
+            Whether there was a connection that could be evicted.
         """
         return any(self._evict_from(state) for state in ConnectionState)
 
     def _evict_from(self, state: ConnectionState) -> bool:
         entered_by = anyio.current_time() - self._grace_s(state)
-        for connection, since in self._entered_at[state].items():
-            if since > entered_by:
+        for connection, entered_at in self._entered_at[state].items():
+            if entered_at > entered_by:
                 break
             if state is ConnectionState.CLOSING or state is ConnectionState.IN_REQUEST:
                 self.close(connection)
@@ -130,7 +133,7 @@
         if state is ConnectionState.IN_REQUEST:
             return REQUEST_GRACE_S
         if state is ConnectionState.IDLE_CLIENT and self.count(ConnectionState.NEW):
-            return math.inf  # a new connection is about to reach the age for it
+            return math.inf  # a new connection is about to exceed its grace period and is evicted instead
         return 0.0
 
     def _enter(self, connection: Connection, state: ConnectionState) -> None:
--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -1,4 +1,4 @@
-"""The server: accepts clients, and serves each connection's requests one after the other."""
+"""HTTP server: accepts clients and serves the requests of each connection one after the other."""
 
 import contextlib
 import math
@@ -14,7 +14,7 @@
 
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.network.connection import Connection, ConnectionClosed
-from swiftthread.server.admission_queue import Admission, AdmissionQueue
+from swiftthread.server.admission_queue import AdmissionPolicy, AdmissionQueue
 from swiftthread.server.connection_table import NEW_GRACE_S, ConnectionState, ConnectionTable
 from swiftthread.server.http_status import HttpStatus
 from swiftthread.server.messages import AdmissionResult, BadRequest
@@ -23,33 +23,34 @@
 from swiftthread.server.submission import Request, parse_submission
 from swiftthread.storage.pending_event import PendingEvent
 
-MAX_HEAD_BYTES = 16 * 1024  # of a request's line and headers
-# For the rest of a bad request, which is read and dropped; 60 MB on loopback.
+MAX_HEAD_BYTES = 16 * 1024  # of a request line with its headers
+# Time during which the rest of a bad request is read and discarded; enough for 60 MB on loopback.
 BAD_REQUEST_DRAIN_MS = 3000.0
-# For a client to close too, once we have; over the 0.4 s that it waits for an answer.
+# Time that a client has to close its side after the node has. Longer than the 0.4 s that a client waits for a
+# response.
 CLOSE_TIMEOUT_MS = 500.0
-# For all of that at the end of a shutdown; the SIGKILL comes 0.3 s after it at the soonest.
+# Time in which `finish` answers and closes all connections. It begins at least 0.3 s before SIGKILL.
 SHUTDOWN_TIMEOUT_S = 0.2
-SHUTDOWN_POLL_S = 0.005
-CAPACITY_POLL_S = 0.01
-# After a client that could not be accepted: no descriptor is free, most often.
-ACCEPT_PAUSE_S = 0.05
-EVENT_ADMITTED = HttpStatus.ACCEPTED
-# Answers after which the connection ends, for the client and the node do not understand each other.
+SHUTDOWN_POLL_INTERVAL_S = 0.005
+CAPACITY_POLL_INTERVAL_S = 0.01
+# Pause after a failure to accept a client; the usual cause is that no file descriptor is free.
+ACCEPT_RETRY_PAUSE_S = 0.05
+EVENT_ACCEPTED = HttpStatus.ACCEPTED
+# The connection is closed after these responses, because the client and the node disagree about the request.
 CLOSING_STATUSES = (HttpStatus.BAD_REQUEST, HttpStatus.CONFLICT)
 
 
 class ConnectionLimits(Protocol):
-    """How many connections clients may have."""
+    """Limits on the number of client connections."""
 
     max_clients: int
-    """In all."""
+    """Client connections that may be open at the same time."""
     max_idle_clients: int
-    """Kept between requests."""
+    """Client connections that stay open between requests."""
 
 
 class HttpServer:
-    """Owner of the listener's connections."""
+    """Accepts the connections of a listener and serves their requests."""
 
     def __init__(
         self,
@@ -61,26 +62,27 @@
         first_request_timeout_ms: float,
         request_timeout_ms: float,
         idle_timeout_ms: float,
-        admission: Admission,
+        admission: AdmissionPolicy,
         request_cycle: Callable[[], None],
     ) -> None:
         """Create a server; `serve` runs it.
 
         Args:
-            admit: Says whether the node admits an event.
+            admit: Decides whether the node admits an event, and returns the result for its client.
             stream_types: Names of the stream types that the node serves.
             buffers: Receive buffers.
-            limits: How many connections clients may have.
-            log_clock: Gives ms on the clock of the log.
-            first_request_timeout_ms: From the accept to the last byte of a connection's first request.
-            request_timeout_ms: From the first byte of a request to its last.
-            idle_timeout_ms: From an answer to the first byte of the next request.
-            admission: Bounds how many requests may be read.
-            request_cycle: Asks the scheduler for a cycle, in which `admit_waiting` is to be called.
+            limits: Limits on the number of client connections.
+            log_clock: Returns the time in ms on the clock of the write-ahead log.
+            first_request_timeout_ms: Longest time from the accept to the last byte of a connection's first
+                request.
+            request_timeout_ms: Longest time from the first byte of a request to its last byte.
+            idle_timeout_ms: Longest time from a response to the first byte of the next request.
+            admission: Limits how many requests may be read.
+            request_cycle: Requests a scheduling cycle, during which the caller must call `admit_waiting`.
         """
         self.limits = limits
         self.connections = ConnectionTable()
-        self.is_shutting_down = False  # then each answer closes its connection
+        self.is_shutting_down = False  # once True, each response closes its connection
         self._admit = admit
         self._stream_types = stream_types
         self._buffers = buffers
@@ -96,17 +98,18 @@
         )
 
     async def serve(self, listener: socket.socket, tasks: TaskGroup) -> None:
-        """Accept clients until cancelled, or the listener is closed.
+        """Accept clients until the task is cancelled or the listener is closed.
 
         Args:
-            listener: Where clients connect.
-            tasks: Runs a task for each connection.
+            listener: Listening socket to which clients connect.
+            tasks: Task group that runs one task for each connection.
         """
         while True:
             try:
                 await self._wait_for_capacity()
                 self._accept(listener, tasks)
-                # What the client has sent is read before others are accepted, and maybe it is closed then.
+                # The new connection's task runs first: it reads what the client has sent, and may close the
+                # connection again.
                 await checkpoint()
                 continue
             except BlockingIOError:
@@ -116,25 +119,25 @@
             except OSError as error:
                 if listener.fileno() < 0:
                     return
-                logger.warning("a client could not be accepted: {}", error.strerror)
-            except Exception:  # protects the connected clients: the next one is accepted all the same
-                logger.exception("a client could not be accepted")
-            await anyio.sleep(ACCEPT_PAUSE_S)
+                logger.warning("a client could not be accepted: {}; retrying after a pause", error.strerror)
+            except Exception:  # protects the connected clients: the server goes on accepting
+                logger.exception("a client could not be accepted; the server goes on accepting after a pause")
+            await anyio.sleep(ACCEPT_RETRY_PAUSE_S)
 
     def admit_waiting(self) -> None:
-        """Let as many waiting requests be read as may be in this scheduling cycle."""
+        """Admit as many waiting requests as may be read in this scheduling cycle."""
         self._admission_queue.admit_waiting()
 
     def close_idle(self) -> None:
-        """Begin the shutdown: connections between requests are closed, the others by their next answer.
+        """Begin the shutdown: close connections between requests now, the others with their next response.
 
-        One that was accepted a moment ago is spared: its request may be on its way.
+        Connections accepted less than NEW_GRACE_S ago stay open, because their request may be on its way.
         """
         self.is_shutting_down = True
-        self.connections.begin_close_of_quiet(anyio.current_time() - NEW_GRACE_S)
+        self.connections.begin_close_of_inactive(anyio.current_time() - NEW_GRACE_S)
 
     def has_pending_responses(self) -> bool:
-        """Whether any client waits for an answer: to a request read or not."""
+        """Return whether any client waits for a response to a request, read or still unread."""
         return bool(
             self.connections.count(ConnectionState.IN_REQUEST)
             or self._admission_queue
@@ -142,21 +145,21 @@
         )
 
     async def finish(self, listener: socket.socket, tasks: TaskGroup) -> None:
-        """End the shutdown: close the listener, answer who has asked, and close all connections.
+        """Finish the shutdown: close the listener, answer the requests received, and close all connections.
 
-        A close over unread bytes is a reset, which may overtake an answer: so each connection has time to be
-        read and answered.
+        Closing a socket with unread bytes sends a reset, which may overtake a response. Each connection
+        therefore gets time for its request to be read and answered.
         """
-        with contextlib.suppress(OSError):  # raised once nobody waits to be accepted
+        with contextlib.suppress(OSError):  # raised once no connection waits to be accepted
             while True:
                 self._accept(listener, tasks)
         anyio.notify_closing(listener)
         listener.close()
         with anyio.move_on_after(SHUTDOWN_TIMEOUT_S):
             while len(self.connections):
-                self.connections.begin_close_of_quiet(math.inf)
+                self.connections.begin_close_of_inactive(math.inf)
                 self._request_cycle()  # waiting requests are admitted in a scheduling cycle
-                await anyio.sleep(SHUTDOWN_POLL_S)
+                await anyio.sleep(SHUTDOWN_POLL_INTERVAL_S)
 
     def _accept(self, listener: socket.socket, tasks: TaskGroup) -> None:
         sock, _ = listener.accept()
@@ -166,35 +169,35 @@
         tasks.start_soon(self._serve_client, connection)
 
     async def _wait_for_capacity(self) -> None:
-        """Wait until one more connection may be held; clients to come wait in the listener meanwhile."""
+        """Wait until one more connection may be open; meanwhile new clients wait in the listen backlog."""
         while len(self.connections) >= self.limits.max_clients:
             if not self.connections.evict_one():
-                await anyio.sleep(CAPACITY_POLL_S)
+                await anyio.sleep(CAPACITY_POLL_INTERVAL_S)
 
     def _is_at_idle_limit(self) -> bool:
-        """Whether so many connections are kept between requests that one more is not.
+        """Return whether the connections that stay open between requests have reached their limit.
 
-        Clients that ask once and stay would hold all that they may have open, and none of them could ask
-        again.
+        Without this limit, clients that send one request and stay connected would hold all connections that
+        clients may have open, and none of them could send another request.
         """
-        idle = self.connections.count(ConnectionState.IDLE_CLIENT)
-        idle += self.connections.count(ConnectionState.IDLE_WITHOUT_EVENT)
-        return idle >= self.limits.max_idle_clients
+        idle_count = self.connections.count(ConnectionState.IDLE_CLIENT)
+        idle_count += self.connections.count(ConnectionState.IDLE_WITHOUT_EVENT)
+        return idle_count >= self.limits.max_idle_clients
 
     async def _serve_client(self, connection: Connection) -> None:
-        """Run a connection's task: whatever ends it, the connection is closed."""
+        """Serve a connection until it closes or fails; the connection is closed in every case."""
         try:
             await self._serve_requests(connection)
-        except ConnectionClosed:  # gone, silent, or closed by us between requests
+        except ConnectionClosed:  # closed by the client, timed out, or closed by the node between requests
             if self.connections.state_of(connection) not in (None, ConnectionState.IN_REQUEST):
                 await self._close_gracefully(connection, CLOSE_TIMEOUT_MS)
-        except Exception:  # protects the other clients: a fault here ends this connection alone
-            logger.exception("a client's connection failed")
+        except Exception:  # protects the other clients: an error here closes only this connection
+            logger.exception("serving a client connection failed; the connection is closed")
         finally:
             self.connections.close(connection)
 
     async def _serve_requests(self, connection: Connection) -> None:
-        """Read and answer requests until one ends the connection."""
+        """Read and answer requests until one of them closes the connection."""
         is_first = True
         idle_state = ConnectionState.IDLE_WITHOUT_EVENT
         while True:
@@ -202,26 +205,26 @@
                 request = await self._reader.read(connection, is_first)
                 result = self._handle(request)
             except BadRequest as error:
-                await write_response(connection, error.status, closes=True)
+                await write_response(connection, error.status, closes_connection=True)
                 await self._close_gracefully(connection, BAD_REQUEST_DRAIN_MS)
                 return
-            if result.status == EVENT_ADMITTED:
+            if result.status == EVENT_ACCEPTED:
                 idle_state = ConnectionState.IDLE_CLIENT
-            closes = self.is_shutting_down or is_first and self._is_at_idle_limit()
+            closes_connection = self.is_shutting_down or is_first and self._is_at_idle_limit()
             is_first = False
-            await self._answer(connection, result, closes)
-            if closes or not _allows_next_request(connection):
+            await self._respond(connection, result, closes_connection)
+            if closes_connection or not _allows_next_request(connection):
                 await self._close_gracefully(connection, CLOSE_TIMEOUT_MS)
                 return
             connection.parser.start_next_cycle()
             self.connections.move(connection, idle_state)
-            await checkpoint()  # many requests sent at once on one connection take turns with the others
+            await checkpoint()  # so that pipelined requests do not hold up the other connections
 
     def _handle(self, request: Request) -> AdmissionResult:
-        """Return the answer to a request.
+        """Return the result with which a request is answered.
 
         Raises:
-            BadRequest: it is answered with an error status, and its connection ends.
+            BadRequest: The request is answered with an error status, after which its connection is closed.
         """
         if request.is_health_check():
             return AdmissionResult(HttpStatus.SERVICE_UNAVAILABLE if self.is_shutting_down else HttpStatus.OK)
@@ -231,21 +234,21 @@
         return result
 
     @staticmethod
-    async def _answer(connection: Connection, result: AdmissionResult, closes: bool) -> None:
+    async def _respond(connection: Connection, result: AdmissionResult, closes_connection: bool) -> None:
         try:
-            await write_response(connection, result.status, closes, result.retry_after_ms)
+            await write_response(connection, result.status, closes_connection, result.retry_after_ms)
         finally:
-            if result.on_answered is not None:  # it is admitted, also when its client is gone
-                result.on_answered()
+            if result.on_response_finished is not None:  # the event is accepted even if its client has closed
+                result.on_response_finished()
 
     async def _close_gracefully(self, connection: Connection, timeout_ms: float) -> None:
-        """End our side, and wait for the client to close too; what it still sends is dropped."""
+        """Shut down the node's side and wait for the client to close; bytes that arrive are discarded."""
         self.connections.move(connection, ConnectionState.CLOSING)
         await connection.shutdown_and_drain(timeout_ms)
 
 
 async def _wait_for_client(listener: socket.socket) -> bool:
-    """Wait until a client connects; False once the listener is closed."""
+    """Wait until a client connects; return False once the listener is closed."""
     try:
         await anyio.wait_readable(listener)
     except (anyio.ClosedResourceError, OSError, ValueError):
--- a/swiftthread/server/http_status.py
+++ b/swiftthread/server/http_status.py
@@ -1,13 +1,14 @@
-"""The HTTP statuses that the server answers with.
+"""HTTP statuses of the server's responses.
 
-The standard library's `http` module has them too, and 60 more: 250 KB of the memory that a node may use.
+The standard library's `http` module defines them too, and 60 more, but takes 250 KB of the memory that a node
+may use.
 """
 
 from enum import IntEnum
 
 
 class HttpStatus(IntEnum):
-    """A status of RFC 9110 or RFC 6585."""
+    """HTTP status code defined in RFC 9110 or RFC 6585."""
 
     CONTINUE = 100
     OK = 200
--- a/swiftthread/server/messages.py
+++ b/swiftthread/server/messages.py
@@ -1,27 +1,27 @@
-"""What the parts of the server, and the node behind it, tell each other of a request."""
+"""Messages about a request, exchanged by the parts of the server and the node behind it."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 
 class AdmissionResult(NamedTuple):
-    """Answer to one submission."""
+    """Result of one submission, with which its client is answered."""
 
     status: int
-    """HTTP status: 202 admitted, 400 unusable, 409 another event has this id, 503 no capacity."""
-    on_answered: Callable[[], None] | None = None
-    """Called once the answer is written, or the client turned out to be gone."""
+    """HTTP status: 202 accepted, 400 unusable, 409 another event has this id, 503 no capacity."""
+    on_response_finished: Callable[[], None] | None = None
+    """Called once the response is written, or could not be written because the client has closed."""
     retry_after_ms: float = 0.0
-    """When the client had best retry; 0 is no advice."""
+    """Time after which the client should resubmit; 0 if the response gives no advice."""
 
 
 class BadRequest(Exception):
-    """A request that is answered with an error status; its connection ends.
+    """A request is answered with an error status, after which its connection is closed.
 
     Attributes:
-        status: The HTTP status to answer with.
+        status: HTTP status of the response.
     """
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"rejected with {status}")
+        super().__init__(f"the request is rejected with HTTP status {status}")
         self.status = status
--- a/swiftthread/server/request_reader.py
+++ b/swiftthread/server/request_reader.py
@@ -1,4 +1,4 @@
-"""Reading of requests from a connection, within the times that a client may take."""
+"""Reads requests from a connection, within the time limits for clients."""
 
 from collections.abc import Callable
 
@@ -13,12 +13,12 @@
 from swiftthread.server.messages import BadRequest
 from swiftthread.server.submission import MAX_BODY_BYTES, Request, RequestHead, parse_head
 
-# Looked up once: the state is compared for every part of a request.
+# Looked up once, because the state is compared for every part of a request.
 IN_REQUEST = ConnectionState.IN_REQUEST
 
 
 class RequestReader:
-    """Reads the requests of all connections, each once the admission queue lets it."""
+    """Reads the requests of all connections, each once the admission queue has admitted it."""
 
     def __init__(
         self,
@@ -32,12 +32,12 @@
         """Create a reader.
 
         Args:
-            connections: States of the connections.
-            admission_queue: Where a request waits before it is read.
-            log_clock: Gives ms on the clock of the log.
-            first_request_timeout_ms: From the accept to the last byte of the first request.
-            request_timeout_ms: From the first byte of a request to its last.
-            idle_timeout_ms: From an answer to the first byte of the next request.
+            connections: Table of the connections and their states.
+            admission_queue: Queue in which connections wait until their request may be read.
+            log_clock: Returns the time in ms on the clock of the write-ahead log.
+            first_request_timeout_ms: Longest time from the accept to the last byte of the first request.
+            request_timeout_ms: Longest time from the first byte of a request to its last byte.
+            idle_timeout_ms: Longest time from a response to the first byte of the next request.
         """
         self._connections = connections
         self._admission_queue = admission_queue
@@ -50,12 +50,12 @@
         """Wait for the next request and read it.
 
         Args:
-            connection: Where from.
-            is_first: Whether it is the connection's first request.
+            connection: Connection to read from.
+            is_first: Whether this is the connection's first request.
 
         Raises:
-            BadRequest: it is malformed or takes too long.
-            ConnectionClosed: the connection ended, or no request came in time.
+            BadRequest: The request is malformed or takes too long.
+            ConnectionClosed: The connection has closed, or no request arrived in time.
         """
         timeout_s = (self._first_request_timeout_ms if is_first else self._idle_timeout_ms) / 1000.0
         while True:
@@ -65,7 +65,7 @@
                 raise BadRequest(HttpStatus.REQUEST_TIMEOUT)
             if connection.has_nothing_to_read() or not connection.read_available():
                 raise ConnectionClosed(request_was_written=True)
-            # Its first bytes arrived at the same moment as the timeout.
+            # The first bytes of the request arrived at the same time as the timeout: read it after all.
 
     async def _read_parts(
         self, connection: Connection, is_first: bool, timeout: anyio.CancelScope
@@ -90,7 +90,7 @@
                 if len(body) > MAX_BODY_BYTES:
                     raise BadRequest(HttpStatus.CONTENT_TOO_LARGE)
             elif isinstance(part, h11.EndOfMessage):
-                assert head is not None  # the parser yields the head first
+                assert head is not None  # the parser returns the head first
                 age_ms = 0.0 if received_at_ms is None else monotonic_ms() - received_at_ms
                 return Request(head, bytes(body), self._log_clock() - age_ms)
             else:
@@ -109,7 +109,7 @@
             raise BadRequest(error.error_status_hint) from None
 
     async def _receive(self, connection: Connection) -> None:
-        """Wait for more bytes, and for admission where they begin a request."""
+        """Wait for more bytes, and for admission if they begin a request, then read them."""
         if connection.parser.they_are_waiting_for_100_continue:
             interim = h11.InformationalResponse(status_code=HttpStatus.CONTINUE, headers=[])
             await connection.write(connection.parser.send(interim))
--- a/swiftthread/server/response.py
+++ b/swiftthread/server/response.py
@@ -1,11 +1,11 @@
-"""Answers to clients: a status and headers, without a body."""
+"""Responses to clients, which consist of a status and headers without a body."""
 
 import h11
 
 from swiftthread.network.connection import Connection, ConnectionClosed
 from swiftthread.server.http_status import HttpStatus
 
-REASONS: dict[int, bytes] = {
+REASON_PHRASES: dict[int, bytes] = {
     HttpStatus.OK: b"OK",
     HttpStatus.ACCEPTED: b"Accepted",
     HttpStatus.BAD_REQUEST: b"Bad Request",
@@ -19,25 +19,25 @@
 
 
 async def write_response(
-    connection: Connection, status: int, closes: bool, retry_after_ms: float = 0.0
+    connection: Connection, status: int, closes_connection: bool, retry_after_ms: float = 0.0
 ) -> None:
-    """Answer the request that was read last.
+    """Write the response to the request that was read last.
 
     Args:
-        connection: Where to.
+        connection: Connection to write to.
         status: HTTP status.
-        closes: Whether to announce that this answer is the connection's last.
-        retry_after_ms: When the client had best retry; 0 is no advice.
+        closes_connection: Whether to announce that this response is the last one on the connection.
+        retry_after_ms: Value of Retry-After in ms; 0 sends no such header.
 
     Raises:
-        ConnectionClosed: the connection ended, or the client cannot be answered on it any more.
+        ConnectionClosed: The connection has closed, or its state allows no further response.
     """
     headers = [("Content-Length", "0")]
-    if closes:
+    if closes_connection:
         headers.append(("Connection", "close"))
     if retry_after_ms:
         headers.append(("Retry-After", f"{retry_after_ms / 1000.0:.3f}"))
-    response = h11.Response(status_code=status, headers=headers, reason=REASONS.get(status, b""))
+    response = h11.Response(status_code=status, headers=headers, reason=REASON_PHRASES.get(status, b""))
     try:
         parts = [connection.parser.send(response), connection.parser.send(h11.EndOfMessage())]
     except h11.LocalProtocolError:
--- a/swiftthread/server/submission.py
+++ b/swiftthread/server/submission.py
@@ -1,4 +1,4 @@
-"""What a request says: checks of its head, and the event that it submits. No I/O."""
+"""Validation of a request's head, and parsing of the event that it submits. No I/O."""
 
 import re
 import zlib
@@ -11,29 +11,29 @@
 from swiftthread.server.messages import BadRequest
 from swiftthread.storage.pending_event import PendingEvent
 
-MAX_BODY_BYTES = 64 * 1024  # the pages' bound
+MAX_BODY_BYTES = 64 * 1024  # documented limit
 HEALTH_PATH = "/_health"
-# Headers that may come once only, for two could differ.
+# Headers that may occur only once, because two values could differ.
 SINGLE_HEADERS = frozenset(
     (b"x-txn", b"x-lane", b"x-remaining", b"x-route-to", b"idempotency-key", b"x-org", b"x-entity")
 )
-REMAINING_TIME = re.compile(r"(?P<number>\d{1,12}(?:\.\d{1,9})?)(?P<unit>[mu])")  # ms or us
+REMAINING_TIME = re.compile(r"(?P<number>\d{1,12}(?:\.\d{1,9})?)(?P<unit>[mu])")  # "m": ms, "u": us
 DESTINATION = re.compile(r"(?:^|[;,\s])dest=(?P<number>\d{1,9})(?:$|[;,\s])")
 TOKEN = re.compile(r"[!-~]{1,200}")  # an event id or an idempotency key
 
 
 @dataclass(slots=True)
 class RequestHead:
-    """A request's line and headers."""
+    """The request line and the headers of a request."""
 
     method: bytes
     path: str
-    """The target without its query."""
+    """The request target without its query."""
     headers: dict[bytes, bytes]
-    """Values by lower-case name; of several with one name, the last."""
+    """Header values by lower-case name; the last value if a name occurs several times."""
 
     def header(self, name: bytes) -> str:
-        """Return the value of a header; "" without it."""
+        """Return the value of a header, or "" if the request does not have it."""
         return self.headers.get(name, b"").decode("latin-1")
 
 
@@ -44,20 +44,20 @@
     head: RequestHead
     body: bytes
     received_at_ms: float
-    """When its first bytes arrived, in ms on the clock of the log."""
+    """When the first bytes arrived, in ms on the clock of the write-ahead log."""
 
     def is_health_check(self) -> bool:
-        """Whether it asks after the node's health."""
+        """Return whether this is a health check of the node."""
         return self.head.method == b"GET" and self.head.path == HEALTH_PATH
 
 
 def parse_head(request: h11.Request) -> RequestHead:
-    """Return a request's head once it is checked, before the body arrives.
+    """Validate and return a request's head, before its body arrives.
 
     Raises:
-        BadRequest: the head can mean two things, or announces a body that is too long.
+        BadRequest: The head is ambiguous, or announces a body that is too long.
     """
-    headers = list(request.headers)  # h11 builds each pair anew for every iteration
+    headers = list(request.headers)  # h11 builds every pair again on each iteration
     names = [name for name, _ in headers]
     lengths = [int(value) for name, value in headers if name == b"content-length"]
     if max(lengths, default=0) > MAX_BODY_BYTES:
@@ -74,15 +74,15 @@
 def parse_submission(request: Request, stream_types: Container[str]) -> PendingEvent:
     """Return the event that a request submits.
 
-    Its remaining time counts from the moment at which the request arrived, for the client's does not stand
-    still while the request waits to be read.
+    The event's remaining time counts from the arrival of the request, not from when it is read, because time
+    passes for the client too while the request waits to be read.
 
     Args:
         request: The request.
         stream_types: Names of the stream types that the node serves.
 
     Raises:
-        BadRequest: the request submits no event.
+        BadRequest: The request does not submit a valid event.
     """
     head = request.head
     if head.method != b"POST":
@@ -127,5 +127,5 @@
 
 
 def _ordering_key(entity: str) -> int:
-    """Return a number for the entity whose events keep their order; 0 for none."""
+    """Return the ordering key of an entity, whose events stay in order; 0 if no entity is named."""
     return zlib.crc32(entity.encode("latin-1")) + 1 if entity else 0
--- a/tests/server/test_connection_table.py
+++ b/tests/server/test_connection_table.py
@@ -130,7 +130,7 @@
     in_request = connection_in(table, ConnectionState.IN_REQUEST)
     clock.now += 1.0
     new = connection_in(table, ConnectionState.NEW)
-    table.begin_close_of_quiet(clock.now - 0.5)
+    table.begin_close_of_inactive(clock.now - 0.5)
     assert [old.is_shut_down, idle.is_shut_down, in_request.is_shut_down, new.is_shut_down] == [
         True,
         True,
