--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -29,7 +29,7 @@
 # Time that a client has to close its side after the node has. Longer than the 0.4 s that a client waits for a
 # response.
 CLOSE_TIMEOUT_MS = 500.0
-# Time in which `finish` answers and closes all connections. It begins at least 0.3 s before SIGKILL.
+# Time in which `finish_shutdown` answers and closes all connections. It begins at least 0.3 s before SIGKILL.
 SHUTDOWN_TIMEOUT_S = 0.2
 SHUTDOWN_POLL_INTERVAL_S = 0.005
 CAPACITY_POLL_INTERVAL_S = 0.01
@@ -128,7 +128,7 @@
         """Admit as many waiting requests as may be read in this scheduling cycle."""
         self._admission_queue.admit_waiting()
 
-    def close_idle(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin the shutdown: close connections between requests now, the others with their next response.
 
         Connections accepted less than NEW_GRACE_S ago stay open, because their request may be on its way.
@@ -144,7 +144,7 @@
             or self.connections.has_unread_request()
         )
 
-    async def finish(self, listener: socket.socket, tasks: TaskGroup) -> None:
+    async def finish_shutdown(self, listener: socket.socket, tasks: TaskGroup) -> None:
         """Finish the shutdown: close the listener, answer the requests received, and close all connections.
 
         Closing a socket with unread bytes sends a reset, which may overtake a response. Each connection
--- a/swiftthread/service/shutdown.py
+++ b/swiftthread/service/shutdown.py
@@ -34,7 +34,7 @@
     """
     began_at = monotonic_ms()
     logger.info("stopping; {} events are pending", len(node.log.pending))
-    node.server.close_idle()
+    node.server.begin_shutdown()
     while monotonic_ms() - began_at < STOP_MS:
         await anyio.sleep(CHECK_INTERVAL_MS / 1000.0)
         elapsed_ms = monotonic_ms() - began_at
@@ -42,7 +42,7 @@
         node.scheduler.is_sending = elapsed_ms < SEND_MS
         if node.submissions.is_closed and not _has_work(node):
             break
-    await node.server.finish(listener, node.tasks)
+    await node.server.finish_shutdown(listener, node.tasks)
     node.activity.log_counts()
     logger.info("stopped; {} events are left in the log", len(node.log.pending))
     node.tasks.cancel_scope.cancel()
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -119,11 +119,11 @@
         client = await in_process.idle_client()
         send_after_idle_check(monkeypatch, client)
         if cause == "shutdown":
-            in_process.server.close_idle()
+            in_process.server.begin_shutdown()
         elif cause == "eviction":
             assert in_process.server.connections.evict_one()
         elif cause == "end of shutdown":
-            await in_process.server.finish(in_process.listener, in_process.tasks)
+            await in_process.server.finish_shutdown(in_process.listener, in_process.tasks)
         assert await received_by(client) == b"" and client.recv(9) == b""
         client.close()
         await in_process.all_closed()
@@ -135,7 +135,7 @@
 def test_a_client_that_never_closes_is_closed_in_time():
     async def test(in_process):
         client = await in_process.idle_client()
-        in_process.server.close_idle()
+        in_process.server.begin_shutdown()
         assert await received_by(client) == b""
         ((connection, _),) = in_process.server.connections.in_state(ConnectionState.CLOSING)
         await in_process.all_closed()
