--- a/swiftthread/network/__init__.py
+++ b/swiftthread/network/__init__.py
@@ -1,1 +1,1 @@
-"""TCP connections, the pool of idle ones, and the buffers that reads borrow. Nothing is decided here."""
+"""TCP connections, the pool of idle connections, and receive buffers. No delivery decisions are made here."""
--- a/swiftthread/network/address.py
+++ b/swiftthread/network/address.py
@@ -3,16 +3,16 @@
 MAX_PORT = 65535
 
 Address = tuple[str, int]
-"""(host, port), as the socket module wants it."""
+"""(host, port), as the socket module expects it."""
 
 
-def parse_address(text: str) -> Address:
-    """Parse "10.0.0.4:9000" into (host, port).
+def parse_address(host_and_port: str) -> Address:
+    """Parse text like "10.0.0.4:9000" into (host, port).
 
     Raises:
-        ValueError: `text` is not an address.
+        ValueError: The text is not an address.
     """
-    host, _, port = str(text).rpartition(":")
+    host, _, port = str(host_and_port).rpartition(":")
     if not host or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"no address: {host_and_port!r}")
     return host, int(port)
--- a/swiftthread/network/buffer_pool.py
+++ b/swiftthread/network/buffer_pool.py
@@ -1,27 +1,27 @@
-"""Receive buffers of one size, lent for a single read each and used again."""
+"""Reusable receive buffers of one size, each borrowed for a single read."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-# Most of what is read is a head and a small body; larger messages take several reads.
+# Most messages are a head and a small body; larger messages take several reads.
 BUFFER_BYTES = 16 * 1024
 
 
 class BufferPool:
-    """Owner of the receive buffers.
+    """Holds the receive buffers that are not in use.
 
-    A buffer is lent while bytes go from the socket to the parser, and no longer, so there are as many as
-    were ever borrowed at once.
+    A buffer is borrowed only while bytes are passed from the socket to the parser. The pool therefore creates
+    no more buffers than are borrowed at the same time.
     """
 
     def __init__(self) -> None:
-        self.free: list[memoryview] = []
+        self.free_buffers: list[memoryview] = []
 
     @contextmanager
     def borrow(self) -> Iterator[memoryview]:
-        """Lend a buffer of BUFFER_BYTES for as long as the `with` block lasts."""
-        buffer = self.free.pop() if self.free else memoryview(bytearray(BUFFER_BYTES))
+        """Provide a buffer of BUFFER_BYTES for the duration of the `with` block."""
+        buffer = self.free_buffers.pop() if self.free_buffers else memoryview(bytearray(BUFFER_BYTES))
         try:
             yield buffer
         finally:
-            self.free.append(buffer)
+            self.free_buffers.append(buffer)
--- a/swiftthread/network/connection.py
+++ b/swiftthread/network/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection without a library's buffers in between: what was written is known to the byte."""
+"""TCP connections without a library's buffers in between, so that the bytes written are known exactly."""
 
 import contextlib
 import errno
@@ -18,38 +18,40 @@
 from swiftthread.network.address import Address
 from swiftthread.network.buffer_pool import BufferPool
 
-# Reads of one buffer, 1 MiB in all, before other tasks have their turn.
-MAX_READS_DISCARDED_AT_ONCE = 64
-# tcp_info.tcpi_state on Linux once the peer has closed.
+# Reads of one buffer each, 1 MiB in total, after which other tasks get to run.
+MAX_DISCARDED_READS_PER_WAKEUP = 64
+# Values of tcp_info.tcpi_state on Linux once the peer has closed.
 TCP_CLOSE = 7
 TCP_CLOSE_WAIT = 8
-# Linger on, 0 s: what has not been delivered by the close never will be.
-LINGER_NOT_AT_ALL = struct.pack("ii", 1, 0)
-# For so long at most a connection that came up waits to be accepted with somebody at its other end.
+# SO_LINGER enabled with 0 s: bytes that are not delivered when the socket closes are discarded.
+LINGER_ZERO = struct.pack("ii", 1, 0)
+# Longest time that an established connection waits to be accepted while its peer is still connected.
 MAX_ACCEPT_DELAY_MS = 3000.0
-UNACKNOWLEDGED_BYTES = struct.Struct("i")  # the result of TIOCOUTQ
+TIOCOUTQ_RESULT = struct.Struct("i")  # number of written bytes that are not acknowledged
 
 
 class ConnectionClosed(Exception):
-    """The connection is over, or never came up.
+    """The connection has closed, or could not be established.
 
     Attributes:
         request_was_written: Whether the kernel had accepted all bytes of the last message.
-        was_refused: Whether the peer's host refused to connect.
+        was_refused: Whether the peer's host refused the connection (ECONNREFUSED).
     """
 
     def __init__(self, request_was_written: bool, was_refused: bool = False) -> None:
-        super().__init__("the connection is over")
+        super().__init__("the connection has closed or could not be established")
         self.request_was_written = request_was_written
         self.was_refused = was_refused
 
 
 class Connection:
-    """A connected socket and its HTTP parser. Who opens or accepts it closes it.
+    """A connected socket and its HTTP parser. The caller that opens or accepts a connection closes it.
 
     Attributes:
-        idle_since: When a pool last took it in, on the pool's clock; None before its first use is over.
-        received_at: Monotonic ms at which the kernel had the bytes read last; None when it does not say.
+        idle_since: When the connection was last released to a pool, on the pool's clock; None until its first
+            release.
+        received_at: Monotonic ms at which the kernel received the bytes that were read last; None if the
+            kernel gave no timestamp.
     """
 
     def __init__(self, sock: socket.socket, buffers: BufferPool, parser: h11.Connection) -> None:
@@ -60,13 +62,13 @@
         self.parser = parser
         self.idle_since: float | None = None
         self.received_at: float | None = None
-        # Monotonic ms. Bytes read later had not arrived then, but for the first: they may have come while the
-        # connection waited to be accepted.
+        # Monotonic ms. Bytes that are read later arrived after this time. The first bytes may have arrived
+        # while the connection waited to be accepted, so the initial value lies in the past.
         self._last_read_at = monotonic_ms() - MAX_ACCEPT_DELAY_MS
 
     def enable_timestamps(self) -> Self:
-        """Fill `received_at` from now on, so that a late read is told from a late arrival."""
-        # Without support by the kernel, our own delays count as the peer's.
+        """Set `received_at` on each read from now on, to distinguish late reads from late arrivals."""
+        # Without kernel support, delays of this process count as delays of the peer.
         with contextlib.suppress(OSError):
             timestamps.enable_timestamps(self.socket)
         return self
@@ -75,7 +77,7 @@
         """Write all parts, in order, as one message.
 
         Raises:
-            ConnectionClosed: the connection ended before all was written.
+            ConnectionClosed: The connection closed before all bytes were written.
         """
         remaining = memoryview(b"".join(parts))
         while remaining:
@@ -87,10 +89,10 @@
                 raise ConnectionClosed(request_was_written=False) from None
 
     def read_available(self) -> bool:
-        """Hand the parser what has arrived; False when nothing has.
+        """Pass the bytes that have arrived to the parser; return False if there are none.
 
         Raises:
-            ConnectionClosed: the connection is over.
+            ConnectionClosed: The connection has failed, or its end was read before.
         """
         try:
             with self.buffers.borrow() as buffer:
@@ -103,24 +105,24 @@
                 self.parser.receive_data(bytes(buffer[:size]))
         except BlockingIOError:
             return False
-        except (OSError, RuntimeError):  # the latter: the parser was told of the end before
+        except (OSError, RuntimeError):  # RuntimeError: the parser has already received the end
             raise ConnectionClosed(request_was_written=True) from None
         return True
 
     async def read(self) -> None:
-        """Wait for bytes and hand them to the parser.
+        """Wait for bytes and pass them to the parser.
 
         Raises:
-            ConnectionClosed: the connection is over.
+            ConnectionClosed: The connection has failed, or its end was read before.
         """
         while not self.read_available():
             await self._wait(anyio.wait_readable)
 
     async def wait_until_readable(self) -> None:
-        """Wait until there are bytes to read, or the peer's end.
+        """Wait until there are bytes to read, or the peer has closed its side.
 
         Raises:
-            ConnectionClosed: the connection was closed here.
+            ConnectionClosed: The connection was closed by this process.
         """
         await self._wait(anyio.wait_readable)
 
@@ -128,11 +130,11 @@
         try:
             await wait_until_ready(self.socket)
         except (anyio.ClosedResourceError, OSError, ValueError):
-            # Closed here while this task waited.
+            # This process closed the socket while the task waited.
             raise ConnectionClosed(request_was_written=True) from None
 
     def has_nothing_to_read(self) -> bool:
-        """Whether nothing has arrived since the last read: neither the peer's end nor stray bytes."""
+        """Return whether nothing has arrived since the last read, neither bytes nor the peer's close."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -142,7 +144,7 @@
         return False
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed, whatever of it is still unread."""
+        """Return whether the peer has closed, even if bytes that it sent are still unread."""
         try:
             state = self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
         except OSError:
@@ -150,23 +152,23 @@
         return state in (TCP_CLOSE, TCP_CLOSE_WAIT)
 
     def is_all_acknowledged(self) -> bool:
-        """Whether the peer's host has acknowledged all that was written; True where it cannot be told."""
+        """Return whether the peer's host has acknowledged all written bytes; True if that is not known."""
         try:
-            return not any(fcntl.ioctl(self.socket, termios.TIOCOUTQ, UNACKNOWLEDGED_BYTES.pack(0)))
+            return not any(fcntl.ioctl(self.socket, termios.TIOCOUTQ, TIOCOUTQ_RESULT.pack(0)))
         except OSError:
             return True
 
     def shutdown_write(self) -> None:
-        """End our side. A task that waits to read wakes up with ConnectionClosed."""
-        # The peer may have closed or reset it already.
+        """Shut down the sending side. A task that waits to read wakes up with ConnectionClosed."""
+        # The peer may have closed or reset the connection already.
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
         anyio.notify_closing(self.socket)
 
     async def shutdown_and_drain(self, timeout_ms: float) -> None:
-        """End our side, and read until the peer ends too or the time is up.
+        """Shut down the sending side, and discard input until the peer closes too or the timeout expires.
 
-        A close over unread bytes would send a reset, which may overtake the response.
+        Closing the socket with unread bytes would send a reset, which may overtake the response.
         """
         with anyio.move_on_after(timeout_ms / 1000.0), contextlib.suppress(OSError, ConnectionClosed):
             self.socket.shutdown(socket.SHUT_WR)
@@ -176,13 +178,13 @@
                     return
 
     def _discard_available(self) -> bool:
-        """Read and forget what has arrived, much at once, for a wait costs more than a read.
+        """Read and discard what has arrived, many buffers at once, because a wait costs more than a read.
 
         Returns:
-            Whether the peer has ended its side.
+            Whether the peer has closed its side.
         """
         with self.buffers.borrow() as buffer:
-            for _ in range(MAX_READS_DISCARDED_AT_ONCE):
+            for _ in range(MAX_DISCARDED_READS_PER_WAKEUP):
                 try:
                     if not self.socket.recv_into(buffer):
                         return True
@@ -191,16 +193,16 @@
         return False
 
     def close(self) -> None:
-        """Close the socket. A task that waits on it wakes up with ConnectionClosed."""
+        """Close the socket. A task that waits for it wakes up with ConnectionClosed."""
         if self.socket.fileno() >= 0:
             anyio.notify_closing(self.socket)
             self.socket.close()
 
     def reset(self) -> None:
-        """Close, and stop delivery of what was written: the kernel would go on for minutes."""
-        # Where the connection is over already, an ordinary close does.
+        """Close the socket and discard undelivered bytes; the kernel would retry them for minutes."""
+        # If the connection has closed already, an ordinary close is enough.
         with contextlib.suppress(OSError):
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOT_AT_ALL)
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         self.close()
 
 
@@ -210,11 +212,12 @@
     """Open a connection to `address`.
 
     Raises:
-        ConnectionClosed: it was refused, did not come up within `timeout_ms`, or no descriptor is free.
+        ConnectionClosed: The connection was refused or failed, was not established within `timeout_ms`, or no
+            file descriptor is free.
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    except OSError:  # no descriptor is free
+    except OSError:  # no file descriptor is free
         raise ConnectionClosed(request_was_written=False) from None
     try:
         await _establish(sock, address, timeout_ms)
@@ -233,10 +236,10 @@
     if error == errno.EINPROGRESS:
         with anyio.move_on_after(timeout_ms / 1000.0):
             await anyio.wait_writable(sock)
-        # Also after the timeout: a process that was suspended may find the connection up, or refused, at
-        # the same moment as its timer.
+        # Checked after a timeout too: when a suspended process resumes, its timer may have expired although
+        # the connection has been established or refused.
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if not error:
-            sock.getpeername()  # raises while it is not up
+            sock.getpeername()  # raises OSError while the connection is not established
     if error:
         raise ConnectionClosed(request_was_written=False, was_refused=error == errno.ECONNREFUSED)
--- a/swiftthread/network/connection_pool.py
+++ b/swiftthread/network/connection_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, kept for the next call."""
+"""Pool of idle connections to endpoints, for reuse by later calls."""
 
 from collections import deque
 from collections.abc import Callable
@@ -9,39 +9,39 @@
 
 
 class PoolKey(NamedTuple):
-    """What a connection leads to: an address can pass from one endpoint to the next."""
+    """Endpoint and address of a connection; both, because an address can pass to another endpoint."""
 
     endpoint_id: str | int
     address: Address | None
-    """None while no endpoint list names the endpoint; there are no connections to it then."""
+    """None while no endpoint list names the endpoint; no connections to it exist then."""
 
 
 class ConnectionPool:
-    """Owner of the idle connections.
+    """Holds the idle connections.
 
-    A connection is out of the pool while a call uses it, and afterwards released to the pool or closed.
+    A connection is not in the pool while a call uses it. After the call it is released to the pool or closed.
     """
 
     def __init__(self, clock: Callable[[], float], max_idle_ms: float, max_connections: int) -> None:
         self.clock = clock
         self.max_idle_ms = max_idle_ms
         self.max_connections = max_connections
-        # Oldest first; a key without connections is removed.
+        # Connections of each key, the longest idle first; a key without connections is removed.
         self.idle: dict[PoolKey, deque[Connection]] = {}
         self.count = 0
 
     def acquire(self, key: PoolKey) -> Connection | None:
-        """Take out the most recently used connection that is still good; None when there is none."""
+        """Remove and return the most recently used connection that is still usable; None if there is none."""
         self.close_expired()
         while key in self.idle:
-            connection = self._take_newest(key)
+            connection = self._remove_newest(key)
             if connection.has_nothing_to_read():
                 return connection
             connection.close()
         return None
 
     def release(self, key: PoolKey, connection: Connection) -> None:
-        """Keep a connection that a call is done with."""
+        """Add a connection that its call no longer needs."""
         connection.idle_since = self.clock()
         self.idle.setdefault(key, deque()).append(connection)
         self.count += 1
@@ -60,10 +60,10 @@
             self.close_idle(key)
 
     def close_expired(self) -> None:
-        """Close what has idled so long that the endpoint may close it while a call is under way to it."""
-        limit = self.clock() - self.max_idle_ms
+        """Close connections idle for so long that the endpoint may close them while a call is being sent."""
+        expired_since = self.clock() - self.max_idle_ms
         for key in list(self.idle):
-            while key in self.idle and self._oldest_idle_since(key) <= limit:
+            while key in self.idle and self._oldest_idle_since(key) <= expired_since:
                 self._close_oldest(key)
 
     def _oldest_idle_since(self, key: PoolKey) -> float:
@@ -71,17 +71,17 @@
         assert idle_since is not None  # set by release
         return idle_since
 
-    def _take_newest(self, key: PoolKey) -> Connection:
+    def _remove_newest(self, key: PoolKey) -> Connection:
         connection = self.idle[key].pop()
-        self._note_removal(key)
+        self._record_removal(key)
         return connection
 
     def _close_oldest(self, key: PoolKey) -> None:
         connection = self.idle[key].popleft()
-        self._note_removal(key)
+        self._record_removal(key)
         connection.close()
 
-    def _note_removal(self, key: PoolKey) -> None:
+    def _record_removal(self, key: PoolKey) -> None:
         self.count -= 1
         if not self.idle[key]:
             del self.idle[key]
--- a/swiftthread/network/listener.py
+++ b/swiftthread/network/listener.py
@@ -9,11 +9,11 @@
     """Open a non-blocking socket that listens on `address`.
 
     Args:
-        address: Where to listen.
-        backlog: Connections that may wait to be accepted; the kernel may allow fewer.
+        address: Address to listen on.
+        backlog: Number of connections that may wait to be accepted; the kernel may allow fewer.
 
     Raises:
-        OSError: the address cannot be bound, or no descriptor is free.
+        OSError: The address cannot be bound, or no file descriptor is free.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/swiftthread/server/connection_table.py
+++ b/swiftthread/server/connection_table.py
@@ -65,7 +65,7 @@
         """Add a connection that was just accepted."""
         self._enter(connection, ConnectionState.NEW)
 
-    def move(self, connection: Connection, state: ConnectionState) -> None:
+    def set_state(self, connection: Connection, state: ConnectionState) -> None:
         """Change a connection's state.
 
         Raises:
@@ -86,7 +86,7 @@
         The client may have written a request in the meantime. It is not accepted, because its response could
         no longer be sent, and the client may submit it elsewhere.
         """
-        self.move(connection, ConnectionState.CLOSING)
+        self.set_state(connection, ConnectionState.CLOSING)
         connection.shutdown_write()
 
     def begin_close_of_inactive(self, new_accepted_by: float) -> None:
--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -217,7 +217,7 @@
                 await self._close_gracefully(connection, CLOSE_TIMEOUT_MS)
                 return
             connection.parser.start_next_cycle()
-            self.connections.move(connection, idle_state)
+            self.connections.set_state(connection, idle_state)
             await checkpoint()  # so that pipelined requests do not hold up the other connections
 
     def _handle(self, request: Request) -> AdmissionResult:
@@ -243,7 +243,7 @@
 
     async def _close_gracefully(self, connection: Connection, timeout_ms: float) -> None:
         """Shut down the node's side and wait for the client to close; bytes that arrive are discarded."""
-        self.connections.move(connection, ConnectionState.CLOSING)
+        self.connections.set_state(connection, ConnectionState.CLOSING)
         await connection.shutdown_and_drain(timeout_ms)
 
 
--- a/swiftthread/server/request_reader.py
+++ b/swiftthread/server/request_reader.py
@@ -97,7 +97,7 @@
                 raise ConnectionClosed(request_was_written=True)
 
     def _begin_request(self, connection: Connection, is_first: bool, timeout: anyio.CancelScope) -> None:
-        self._connections.move(connection, IN_REQUEST)
+        self._connections.set_state(connection, IN_REQUEST)
         deadline = anyio.current_time() + self._request_timeout_ms / 1000.0
         timeout.deadline = min(deadline, timeout.deadline) if is_first else deadline
 
--- a/swiftthread/server/submission.py
+++ b/swiftthread/server/submission.py
@@ -14,12 +14,12 @@
 MAX_BODY_BYTES = 64 * 1024  # documented limit
 HEALTH_PATH = "/_health"
 # Headers that may occur only once, because two values could differ.
-SINGLE_HEADERS = frozenset(
+SINGLE_VALUE_HEADERS = frozenset(
     (b"x-txn", b"x-lane", b"x-remaining", b"x-route-to", b"idempotency-key", b"x-org", b"x-entity")
 )
-REMAINING_TIME = re.compile(r"(?P<number>\d{1,12}(?:\.\d{1,9})?)(?P<unit>[mu])")  # "m": ms, "u": us
-DESTINATION = re.compile(r"(?:^|[;,\s])dest=(?P<number>\d{1,9})(?:$|[;,\s])")
-TOKEN = re.compile(r"[!-~]{1,200}")  # an event id or an idempotency key
+REMAINING_TIME_PATTERN = re.compile(r"(?P<number>\d{1,12}(?:\.\d{1,9})?)(?P<unit>[mu])")  # "m": ms, "u": us
+DESTINATION_PATTERN = re.compile(r"(?:^|[;,\s])dest=(?P<number>\d{1,9})(?:$|[;,\s])")
+TOKEN_PATTERN = re.compile(r"[!-~]{1,200}")  # an event id or an idempotency key
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
         raise BadRequest(HttpStatus.CONTENT_TOO_LARGE)
     if lengths and b"transfer-encoding" in names:
         raise BadRequest(HttpStatus.BAD_REQUEST)
-    single_names = [name for name in names if name in SINGLE_HEADERS]
+    single_names = [name for name in names if name in SINGLE_VALUE_HEADERS]
     if len(set(single_names)) < len(single_names):
         raise BadRequest(HttpStatus.BAD_REQUEST)
     path = request.target.decode("latin-1").partition("?")[0]
@@ -94,38 +94,38 @@
         raise BadRequest(HttpStatus.BAD_REQUEST)
     idempotency_key = head.header(b"idempotency-key")
     return PendingEvent(
-        event_id=_token(head.header(b"x-txn")),
-        idempotency_key=idempotency_key and _token(idempotency_key),
+        event_id=_parse_token(head.header(b"x-txn")),
+        idempotency_key=idempotency_key and _parse_token(idempotency_key),
         stream_type=stream_type,
-        destination=_destination(head.header(b"x-route-to")),
-        expires_at=request.received_at_ms + _remaining_ms(head.header(b"x-remaining")),
+        destination=_parse_destination(head.header(b"x-route-to")),
+        expires_at=request.received_at_ms + _parse_remaining_ms(head.header(b"x-remaining")),
         tenant=head.header(b"x-org") if b"x-org" in head.headers else None,
-        ordering_key=_ordering_key(path_entity or head.header(b"x-entity")),
+        ordering_key=_ordering_key_of(path_entity or head.header(b"x-entity")),
         body=request.body,
     )
 
 
-def _token(text: str) -> str:
-    if not TOKEN.fullmatch(text):
+def _parse_token(token: str) -> str:
+    if not TOKEN_PATTERN.fullmatch(token):
         raise BadRequest(HttpStatus.BAD_REQUEST)
-    return text
+    return token
 
 
-def _destination(route: str) -> int:
-    match = DESTINATION.search(route)
+def _parse_destination(route: str) -> int:
+    match = DESTINATION_PATTERN.search(route)
     if match is None:
         raise BadRequest(HttpStatus.BAD_REQUEST)
     return int(match["number"])
 
 
-def _remaining_ms(text: str) -> float:
-    match = REMAINING_TIME.fullmatch(text)
+def _parse_remaining_ms(remaining_time: str) -> float:
+    match = REMAINING_TIME_PATTERN.fullmatch(remaining_time)
     if match is None:
         raise BadRequest(HttpStatus.BAD_REQUEST)
     units_per_ms = 1.0 if match["unit"] == "m" else 1000.0
     return float(match["number"]) / units_per_ms
 
 
-def _ordering_key(entity: str) -> int:
+def _ordering_key_of(entity: str) -> int:
     """Return the ordering key of an entity, whose events stay in order; 0 if no entity is named."""
     return zlib.crc32(entity.encode("latin-1")) + 1 if entity else 0
--- a/tests/server/test_connection_table.py
+++ b/tests/server/test_connection_table.py
@@ -49,7 +49,7 @@
     connection = FakeConnection()
     table.add(connection)
     if state is not ConnectionState.NEW:
-        table.move(connection, state)
+        table.set_state(connection, state)
     return connection
 
 
@@ -99,8 +99,8 @@
     first = connection_in(table, ConnectionState.IDLE_CLIENT)
     second = connection_in(table, ConnectionState.IDLE_CLIENT)
     clock.now += 1.0
-    table.move(first, ConnectionState.IN_REQUEST)
-    table.move(first, ConnectionState.IDLE_CLIENT)
+    table.set_state(first, ConnectionState.IN_REQUEST)
+    table.set_state(first, ConnectionState.IDLE_CLIENT)
     assert table.evict_one()
     assert second.is_shut_down and not first.is_shut_down
 
@@ -144,4 +144,4 @@
     table.close(connection)
     assert connection.is_closed and table.state_of(connection) is None
     with pytest.raises(ConnectionClosed):
-        table.move(connection, ConnectionState.IDLE_CLIENT)
+        table.set_state(connection, ConnectionState.IDLE_CLIENT)
