--- a/swiftthread/network/address.py
+++ b/swiftthread/network/address.py
@@ -14,5 +14,5 @@
     """
     host, _, port = str(host_and_port).rpartition(":")
     if not host or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"no address: {host_and_port!r}")
+        raise ValueError(f"not an address of the form host:port: {host_and_port!r}")
     return host, int(port)
--- a/tests/configuration/test_node_config.py
+++ b/tests/configuration/test_node_config.py
@@ -71,7 +71,11 @@
         ("{", None, "it is no JSON"),
         ("[]", None, "it cannot be read"),
         ({}, "name", "it lacks 'name'"),
-        (DOCUMENT | {"listen": "x"}, "listen", "listen cannot be read: no address: 'x'"),
+        (
+            DOCUMENT | {"listen": "x"},
+            "listen",
+            "listen cannot be read: not an address of the form host:port: 'x'",
+        ),
         (DOCUMENT | {"discovery": 7}, "discovery", "discovery cannot be read"),
         (DOCUMENT | {"seed": "none"}, "seed", "seed cannot be read"),
         (DOCUMENT | {"settings": []}, "settings", "cannot be read"),
--- a/tests/node/test_node_configuration.py
+++ b/tests/node/test_node_configuration.py
@@ -15,7 +15,7 @@
         ("{", "is no JSON"),
         ("[]", "cannot be read"),
         ('{"name": "n"}', "lacks"),
-        ('{"name": "n", "listen": "x", "discovery": "y:1"}', "no address"),
+        ('{"name": "n", "listen": "x", "discovery": "y:1"}', "not an address of the form host:port"),
         (
             json.dumps(
                 {
