--- a/tests/network/test_connection_pool.py
+++ b/tests/network/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which idle connections are used, kept and closed."""
+"""Which idle connections the pool reuses, retains and closes."""
 
 import pytest
 
@@ -14,10 +14,10 @@
     def __init__(self):
         self.idle_since = None
         self.is_closed = False
-        self.has_ended = False
+        self.has_unread_input = False
 
     def has_nothing_to_read(self):
-        return not self.has_ended
+        return not self.has_unread_input
 
     def close(self):
         self.is_closed = True
@@ -41,7 +41,7 @@
     return ConnectionPool(clock, MAX_IDLE_MS, MAX_CONNECTIONS)
 
 
-def released(pool, clock, key):
+def release_new_connection(pool, clock, key):
     connection = FakeConnection()
     clock.now += 1.0
     pool.release(key, connection)
@@ -49,37 +49,37 @@
 
 
 def test_the_most_recently_used_connection_of_the_key_is_acquired(pool, clock):
-    released(pool, clock, FIRST)
-    newest = released(pool, clock, FIRST)
-    released(pool, clock, SECOND)
+    release_new_connection(pool, clock, FIRST)
+    newest = release_new_connection(pool, clock, FIRST)
+    release_new_connection(pool, clock, SECOND)
     assert pool.acquire(FIRST) is newest
     assert pool.count == 2
 
 
-def test_a_connection_with_an_end_or_stray_bytes_is_closed_and_passed_over(pool, clock):
-    good = released(pool, clock, FIRST)
-    ended = released(pool, clock, FIRST)
-    ended.has_ended = True
-    assert pool.acquire(FIRST) is good and ended.is_closed
+def test_a_connection_with_unread_input_is_closed_and_the_next_one_is_acquired(pool, clock):
+    usable = release_new_connection(pool, clock, FIRST)
+    closed_by_peer = release_new_connection(pool, clock, FIRST)
+    closed_by_peer.has_unread_input = True
+    assert pool.acquire(FIRST) is usable and closed_by_peer.is_closed
     assert pool.acquire(FIRST) is None and not pool.idle
 
 
-def test_beyond_the_bound_the_longest_idle_connection_is_closed(pool, clock):
-    connections = [released(pool, clock, key) for key in (SECOND, FIRST, FIRST, FIRST)]
+def test_above_the_connection_limit_the_longest_idle_connection_is_closed(pool, clock):
+    connections = [release_new_connection(pool, clock, key) for key in (SECOND, FIRST, FIRST, FIRST)]
     assert [connection.is_closed for connection in connections] == [True, False, False, False]
     assert pool.count == MAX_CONNECTIONS and SECOND not in pool.idle
 
 
-def test_a_connection_is_closed_once_it_has_idled_its_time(pool, clock):
-    old = released(pool, clock, FIRST)
+def test_a_connection_is_closed_once_it_reaches_the_maximum_idle_time(pool, clock):
+    old = release_new_connection(pool, clock, FIRST)
     clock.now += MAX_IDLE_MS - 1.0
-    new = released(pool, clock, FIRST)
+    new = release_new_connection(pool, clock, FIRST)
     assert old.is_closed and not new.is_closed
     assert pool.acquire(FIRST) is new
 
 
-def test_idle_connections_of_one_key_or_of_all_are_closed(pool, clock):
-    first, second = released(pool, clock, FIRST), released(pool, clock, SECOND)
+def test_close_idle_closes_the_connections_of_one_key_and_close_all_the_rest(pool, clock):
+    first, second = release_new_connection(pool, clock, FIRST), release_new_connection(pool, clock, SECOND)
     pool.close_idle(FIRST)
     assert first.is_closed and not second.is_closed
     pool.close_all()
--- a/tests/network/test_timestamps.py
+++ b/tests/network/test_timestamps.py
@@ -1,4 +1,4 @@
-"""Receive timestamps of the kernel."""
+"""Receive timestamps of the Linux kernel."""
 
 import socket
 
@@ -14,7 +14,7 @@
 )
 
 
-def test_bytes_carry_the_time_at_which_they_arrived():
+def test_received_bytes_carry_their_arrival_time():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = socket.create_connection(listener.getsockname())
         accepted, _ = listener.accept()
@@ -29,19 +29,19 @@
     assert before_ms - 1.0 <= arrived_at <= after_ms
 
 
-def test_other_control_messages_are_passed_over():
-    stamp = TIMESPEC.pack(2, 500_000)
-    assert arrived([]) is None
-    assert arrived([(socket.SOL_SOCKET, socket.SCM_RIGHTS, stamp)]) is None
-    assert arrived([(socket.SOL_SOCKET, SO_TIMESTAMPNS, stamp[:-1])]) is None
-    assert arrived([(socket.SOL_SOCKET, SO_TIMESTAMPNS, stamp)]) == 99.5
+def test_other_control_messages_are_ignored():
+    timestamp = TIMESPEC.pack(2, 500_000)
+    assert arrived_at([]) is None
+    assert arrived_at([(socket.SOL_SOCKET, socket.SCM_RIGHTS, timestamp)]) is None
+    assert arrived_at([(socket.SOL_SOCKET, SO_TIMESTAMPNS, timestamp[:-1])]) is None
+    assert arrived_at([(socket.SOL_SOCKET, SO_TIMESTAMPNS, timestamp)]) == 99.5
 
 
-def arrived(ancillary_data, wall_now=2001.0):
+def arrived_at(ancillary_data, wall_now=2001.0):
     return arrived_at_ms(ancillary_data, monotonic_now=100.0, wall_now=wall_now, not_before=40.0)
 
 
-@pytest.mark.parametrize("step_ms, at", [(0.0, 99.5), (3_600_000.0, 40.0), (-3_600_000.0, 100.0)])
-def test_a_step_of_the_wall_clock_makes_bytes_no_older_than_possible_and_no_younger(step_ms, at):
-    stamp = TIMESPEC.pack(2, 500_000)
-    assert arrived([(socket.SOL_SOCKET, SO_TIMESTAMPNS, stamp)], 2001.0 + step_ms) == at
+@pytest.mark.parametrize("step_ms, expected_at", [(0.0, 99.5), (3_600_000.0, 40.0), (-3_600_000.0, 100.0)])
+def test_after_a_step_of_the_wall_clock_the_arrival_time_stays_within_its_bounds(step_ms, expected_at):
+    timestamp = TIMESPEC.pack(2, 500_000)
+    assert arrived_at([(socket.SOL_SOCKET, SO_TIMESTAMPNS, timestamp)], 2001.0 + step_ms) == expected_at
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -1,6 +1,6 @@
-"""Closes of client connections, and what crosses them.
+"""Closing of client connections while requests arrive on them.
 
-Each test makes the bad order happen: bytes are written between two steps of the server.
+Each test forces the order of events that could fail: a client writes between two steps of the server.
 """
 
 import fcntl
@@ -28,15 +28,19 @@
 TIMEOUT_S = 5.0
 
 
-def unread_bytes(sock):
+def unread_byte_count(sock):
     return struct.unpack("i", fcntl.ioctl(sock, termios.FIONREAD, bytes(4)))[0]
 
 
 class InProcessServer:
-    """A server of this process, and clients of it. `admitted`: the ids of the events that it admitted."""
+    """An HTTP server in the test process, and its clients.
+
+    Attributes:
+        admitted_ids: Ids of the events that the server admitted, in order.
+    """
 
     def __init__(self, tasks, idle_timeout_ms=60000.0):
-        self.admitted = []
+        self.admitted_ids = []
         self.tasks = tasks
         self.listener = open_listener(("127.0.0.1", 0), 64)
         self.server = HttpServer(
@@ -54,29 +58,29 @@
         tasks.start_soon(self.server.serve, self.listener, tasks)
 
     def admit(self, pending):
-        self.admitted.append(pending.event_id)
+        self.admitted_ids.append(pending.event_id)
         return AdmissionResult(202)
 
-    async def idle_client(self):
-        """A client that has submitted "first" and is idle."""
+    async def open_idle_client(self):
+        """Connect a client, let it submit the event "first", and return it once its connection is idle."""
         client = socket.create_connection(self.listener.getsockname())
         client.sendall(REQUEST % (b"first", 0))
-        assert (await received_by(client)).startswith(b"HTTP/1.1 202")
-        await eventually(lambda: self.server.connections.count(ConnectionState.IDLE_CLIENT))
+        assert (await receive(client)).startswith(b"HTTP/1.1 202")
+        await wait_until(lambda: self.server.connections.count(ConnectionState.IDLE_CLIENT))
         return client
 
-    async def all_closed(self):
-        await eventually(lambda: not len(self.server.connections))
+    async def wait_until_all_closed(self):
+        await wait_until(lambda: not len(self.server.connections))
 
 
-async def eventually(condition):
+async def wait_until(condition):
     with anyio.fail_after(TIMEOUT_S):
         while not condition():
             await anyio.sleep(0.001)
 
 
-async def received_by(client):
-    """The next bytes that a client gets; b"" is an orderly end, and a reset an error."""
+async def receive(client):
+    """Return the next bytes that a client receives: b"" after an orderly close. A reset raises an error."""
     client.setblocking(False)
     with anyio.fail_after(TIMEOUT_S):
         await anyio.wait_readable(client)
@@ -96,73 +100,73 @@
     anyio.run(run)
 
 
-def send_after_idle_check(monkeypatch, client):
-    """A request of the client's arrives right after its connection was found to be untouched."""
+def send_after_input_check(monkeypatch, client):
+    """Let a request of the client arrive right after the server found nothing to read on its connection."""
     has_nothing_to_read = Connection.has_nothing_to_read
 
     def check_and_send(connection):
-        was_untouched = has_nothing_to_read(connection)
-        if was_untouched and connection.socket.getpeername() == client.getsockname():
-            client.sendall(REQUEST % (b"crossed", 0))
-            while not unread_bytes(connection.socket):
+        had_nothing_to_read = has_nothing_to_read(connection)
+        if had_nothing_to_read and connection.socket.getpeername() == client.getsockname():
+            client.sendall(REQUEST % (b"late", 0))
+            while not unread_byte_count(connection.socket):
                 pass
-        return was_untouched
+        return had_nothing_to_read
 
     monkeypatch.setattr(Connection, "has_nothing_to_read", check_and_send)
 
 
-@pytest.mark.parametrize("cause", ["shutdown", "eviction", "idle time", "end of shutdown"])
-def test_a_request_that_crosses_the_close_of_its_connection_is_not_admitted_and_meets_no_reset(
+@pytest.mark.parametrize("cause", ["shutdown", "eviction", "idle timeout", "end of shutdown"])
+def test_a_request_that_arrives_while_its_connection_is_being_closed_is_not_admitted_and_not_reset(
     monkeypatch, cause
 ):
     async def test(in_process):
-        client = await in_process.idle_client()
-        send_after_idle_check(monkeypatch, client)
+        client = await in_process.open_idle_client()
+        send_after_input_check(monkeypatch, client)
         if cause == "shutdown":
             in_process.server.begin_shutdown()
         elif cause == "eviction":
             assert in_process.server.connections.evict_one()
         elif cause == "end of shutdown":
             await in_process.server.finish_shutdown(in_process.listener, in_process.tasks)
-        assert await received_by(client) == b"" and client.recv(9) == b""
+        assert await receive(client) == b"" and client.recv(9) == b""
         client.close()
-        await in_process.all_closed()
-        assert in_process.admitted == ["first"]
+        await in_process.wait_until_all_closed()
+        assert in_process.admitted_ids == ["first"]
 
-    run_with_server(test, idle_timeout_ms=100.0 if cause == "idle time" else 60000.0)
+    run_with_server(test, idle_timeout_ms=100.0 if cause == "idle timeout" else 60000.0)
 
 
-def test_a_client_that_never_closes_is_closed_in_time():
+def test_a_connection_is_closed_after_the_timeout_if_its_client_does_not_close():
     async def test(in_process):
-        client = await in_process.idle_client()
+        client = await in_process.open_idle_client()
         in_process.server.begin_shutdown()
-        assert await received_by(client) == b""
+        assert await receive(client) == b""
         ((connection, _),) = in_process.server.connections.in_state(ConnectionState.CLOSING)
-        await in_process.all_closed()
+        await in_process.wait_until_all_closed()
         assert connection.socket.fileno() < 0
         client.close()
 
     run_with_server(test)
 
 
-def test_a_closing_answer_is_not_overtaken_by_a_reset_for_what_came_behind_its_request():
+def test_a_closing_response_is_not_lost_to_a_reset_when_more_bytes_follow_the_request():
     async def test(in_process):
         client = socket.create_connection(in_process.listener.getsockname())
         in_process.server.is_shutting_down = True
-        client.sendall(REQUEST % (b"first", 0) + REQUEST % (b"behind", 60000) + bytes(60000))
-        assert b"Connection: close" in await received_by(client)
-        assert await received_by(client) == b"" and in_process.admitted == ["first"]
+        client.sendall(REQUEST % (b"first", 0) + REQUEST % (b"second", 60000) + bytes(60000))
+        assert b"Connection: close" in await receive(client)
+        assert await receive(client) == b"" and in_process.admitted_ids == ["first"]
         client.close()
-        await in_process.all_closed()
+        await in_process.wait_until_all_closed()
 
     run_with_server(test)
 
 
-def test_capacity_is_freed_at_once_though_no_client_closes_its_side():
+def test_idle_connections_are_evicted_at_once_even_if_no_client_closes():
     async def test(in_process):
         in_process.server.limits.max_clients = 4
-        clients = [await in_process.idle_client() for _ in range(12)]
-        assert len(in_process.server.connections) <= 4 and len(in_process.admitted) == 12
+        clients = [await in_process.open_idle_client() for _ in range(12)]
+        assert len(in_process.server.connections) <= 4 and len(in_process.admitted_ids) == 12
         for client in clients:
             client.close()
 
--- a/tests/server/test_connection_table.py
+++ b/tests/server/test_connection_table.py
@@ -1,4 +1,4 @@
-"""Which connection makes room for the next, and when."""
+"""Which connection is evicted to free capacity for the next, and when."""
 
 import anyio
 import pytest
@@ -8,7 +8,7 @@
 
 
 class FakeConnection:
-    """A connection that notes what is done to it."""
+    """A connection that records how it was closed."""
 
     def __init__(self):
         self.has_unread_bytes = False
@@ -53,7 +53,7 @@
     return connection
 
 
-def test_states_are_evicted_in_their_order(clock, table):
+def test_connections_are_evicted_in_the_order_of_their_states(clock, table):
     by_state = {state: connection_in(table, state) for state in reversed(ConnectionState)}
     clock.now += 1.0
     evicted = []
@@ -86,7 +86,7 @@
         (ConnectionState.IDLE_CLIENT, 0.0),
     ],
 )
-def test_a_connection_is_spared_for_the_grace_of_its_state(clock, table, state, grace_s):
+def test_a_connection_is_not_evicted_during_the_grace_period_of_its_state(clock, table, state, grace_s):
     connection_in(table, state)
     if grace_s:
         clock.now += grace_s - 0.01
@@ -95,7 +95,7 @@
     assert table.evict_one()
 
 
-def test_the_longest_in_a_state_goes_first(clock, table):
+def test_the_connection_longest_in_its_state_is_evicted_first(clock, table):
     first = connection_in(table, ConnectionState.IDLE_CLIENT)
     second = connection_in(table, ConnectionState.IDLE_CLIENT)
     clock.now += 1.0
@@ -105,7 +105,7 @@
     assert second.is_shut_down and not first.is_shut_down
 
 
-def test_clients_are_spared_while_a_new_connection_is_about_to_reach_its_age(clock, table):
+def test_idle_clients_are_not_evicted_while_a_new_connection_is_within_its_grace_period(clock, table):
     client = connection_in(table, ConnectionState.IDLE_CLIENT)
     new = connection_in(table, ConnectionState.NEW)
     clock.now += 0.2
@@ -115,16 +115,16 @@
     assert new.is_shut_down and not client.is_shut_down
 
 
-def test_a_quiet_connection_with_unread_bytes_is_not_evicted(table):
-    unread = connection_in(table, ConnectionState.IDLE_CLIENT)
-    unread.has_unread_bytes = True
-    untouched = connection_in(table, ConnectionState.IDLE_CLIENT)
+def test_an_idle_connection_with_unread_bytes_is_not_evicted(table):
+    with_input = connection_in(table, ConnectionState.IDLE_CLIENT)
+    with_input.has_unread_bytes = True
+    without_input = connection_in(table, ConnectionState.IDLE_CLIENT)
     assert table.has_unread_request()
     assert table.evict_one()
-    assert untouched.is_shut_down and not unread.is_shut_down
+    assert without_input.is_shut_down and not with_input.is_shut_down
 
 
-def test_a_shutdown_spares_only_connections_accepted_after_the_moment(clock, table):
+def test_begin_close_of_inactive_closes_all_but_busy_and_recently_accepted_connections(clock, table):
     old = connection_in(table, ConnectionState.NEW)
     idle = connection_in(table, ConnectionState.IDLE_CLIENT)
     in_request = connection_in(table, ConnectionState.IN_REQUEST)
@@ -139,7 +139,7 @@
     ]
 
 
-def test_a_closed_connection_changes_its_state_no_more(table):
+def test_setting_the_state_of_a_closed_connection_raises_connection_closed(table):
     connection = connection_in(table, ConnectionState.IN_REQUEST)
     table.close(connection)
     assert connection.is_closed and table.state_of(connection) is None
--- a/tests/server/test_request_deadlines.py
+++ b/tests/server/test_request_deadlines.py
@@ -1,4 +1,4 @@
-"""Requests that the node reads late: those that arrive while its process stands still."""
+"""Requests that the node reads late, because they arrive while its process is suspended."""
 
 import json
 import signal
@@ -13,40 +13,41 @@
 
 
 @pytest.mark.parametrize("is_accepted", [False, True])
-def test_who_has_asked_when_a_shutdown_ends_is_answered(tmp_path, is_accepted):
-    """What came on a connection, accepted or still in the listener's queue, while the process stood still."""
+def test_a_request_that_arrived_before_the_end_of_a_shutdown_is_answered(tmp_path, is_accepted):
+    """The request arrives while the process is suspended, on a connection accepted or in the backlog."""
     with NodeProcess(tmp_path, FakeEndpoint()) as node:
         client = node.open() if is_accepted else None
         if is_accepted:
             wait_until(lambda: client.sendall(node.submission_request("once", b"")[:1]) is None)
         node.process.send_signal(signal.SIGTERM)
-        time.sleep(0.1)  # of the 0.6 s in which a shutdown answers whatever comes
+        time.sleep(0.1)  # a shutdown accepts and answers requests for its first 0.6 s
         node.process.send_signal(signal.SIGSTOP)
-        stopped_at = time.monotonic()
+        suspended_at = time.monotonic()
         client = client or node.open()
         client.sendall(node.submission_request("once", b"", ident="asks")[is_accepted:])
-        wait_until(lambda: time.monotonic() - stopped_at > 0.8)
+        wait_until(lambda: time.monotonic() - suspended_at > 0.8)
         node.process.send_signal(signal.SIGCONT)
         assert client.recv(99).startswith((b"HTTP/1.1 503", b"HTTP/1.1 202"))
         client.close()
         assert node.process.wait(timeout=5) == 0
 
 
-def test_remaining_time_counts_from_when_a_request_came_and_not_from_when_it_is_read(tmp_path):
+def test_remaining_time_counts_from_the_arrival_of_a_request_and_not_from_its_read(tmp_path):
     endpoint = FakeEndpoint(None)
     with NodeProcess(tmp_path, endpoint) as node:
         with node.open() as client:
-            client.sendall(node.submission_request("once", b"", left="9000m"))  # accepted, and known to ask
+            # A first response shows that the node has accepted the connection and read from it.
+            client.sendall(node.submission_request("once", b"", left="9000m"))
             assert client.recv(99).startswith(b"HTTP/1.1 202")
             node.process.send_signal(signal.SIGSTOP)
-            came_at = time.time()
+            sent_at = time.time()
             client.sendall(node.submission_request("once", b"", left="4000m"))
-            wait_until(lambda: time.time() > came_at + 0.4)
+            wait_until(lambda: time.time() > sent_at + 0.4)
             node.process.send_signal(signal.SIGCONT)
             assert client.recv(99).startswith(b"HTTP/1.1 202")
-        row = next(
+        stored_event = next(
             json.loads(payload[4 : 4 + struct.unpack_from("<I", payload)[0]])
             for _, _, kind, payload in records(node.log_path().read_bytes())
             if kind == ACCEPTED and b"evt-2" in payload
         )
-        assert came_at * 1000.0 + 3900.0 < row[4] < came_at * 1000.0 + 4100.0
+        assert sent_at * 1000.0 + 3900.0 < stored_event[4] < sent_at * 1000.0 + 4100.0
--- a/tests/server/test_submission.py
+++ b/tests/server/test_submission.py
@@ -1,4 +1,4 @@
-"""Which requests submit an event, and which event."""
+"""Parsing of requests into events, and the statuses of invalid requests."""
 
 import zlib
 
@@ -20,7 +20,7 @@
 
 
 def head_of(method="POST", target="/once", extra=(), **headers):
-    """The head of a request; a header given as None is left out."""
+    """Return the parsed head of a request; a header given as None is left out."""
     named = HEADERS | {name.replace("_", "-"): value for name, value in headers.items()}
     pairs = [(name, value) for name, value in named.items() if value is not None]
     return parse_head(h11.Request(method=method, target=target, headers=[*pairs, *extra]))
@@ -36,7 +36,7 @@
     return raised.value.status
 
 
-def test_a_submission_with_all_headers():
+def test_a_submission_with_all_headers_is_parsed():
     pending = submission(Idempotency_Key="key", X_Org="tenant", X_Entity="entity")
     assert pending.event_id == "evt-1"
     assert pending.idempotency_key == "key"
@@ -48,21 +48,21 @@
     assert pending.body == b"body"
 
 
-def test_a_submission_with_the_least_headers():
+def test_a_submission_with_only_required_headers_is_parsed():
     pending = submission(X_Lane=None)
     assert pending.idempotency_key == ""
     assert pending.tenant is None
     assert pending.ordering_key == 0
 
 
-def test_an_entity_in_the_path_counts_before_the_header():
+def test_an_entity_in_the_path_takes_precedence_over_the_header():
     pending = submission(target="/once/first?query", X_Entity="second")
     assert pending.stream_type == "once"
     assert pending.ordering_key == zlib.crc32(b"first") + 1
 
 
 @pytest.mark.parametrize("remaining, milliseconds", [("250.5m", 250.5), ("1500u", 1.5)])
-def test_units_of_the_remaining_time(remaining, milliseconds):
+def test_remaining_time_is_read_in_milliseconds_or_microseconds(remaining, milliseconds):
     assert submission(X_Remaining=remaining).expires_at == RECEIVED_AT_MS + milliseconds
 
 
@@ -85,16 +85,16 @@
         {"extra": [("Transfer-Encoding", "chunked")]},
     ],
 )
-def test_a_malformed_submission_is_a_bad_request(head):
+def test_a_malformed_submission_is_rejected_with_400(head):
     assert status_of(**head) == 400
 
 
 @pytest.mark.parametrize("head", [{"method": "GET"}, {"target": "/other"}, {"target": "/"}])
-def test_what_names_no_stream_type_is_not_found(head):
+def test_a_request_without_a_known_stream_type_is_rejected_with_404(head):
     assert status_of(**head) == 404
 
 
-def test_a_body_that_is_announced_too_long_is_rejected_by_the_head():
+def test_a_content_length_above_the_limit_is_rejected_with_413_before_the_body():
     assert head_of(Content_Length="65536")
     with pytest.raises(BadRequest) as raised:
         head_of(Content_Length="65537")
@@ -110,6 +110,6 @@
         ("GET", "/", False),
     ],
 )
-def test_health_checks(method, target, is_health_check):
+def test_only_get_requests_for_the_health_path_are_health_checks(method, target, is_health_check):
     head = head_of(method=method, target=target)
     assert Request(head, b"", RECEIVED_AT_MS).is_health_check() == is_health_check
