--- a/swiftthread/network/connection.py
+++ b/swiftthread/network/connection.py
@@ -27,7 +27,7 @@
 LINGER_ZERO = struct.pack("ii", 1, 0)
 # Longest time that an established connection waits to be accepted while its peer is still connected.
 MAX_ACCEPT_DELAY_MS = 3000.0
-TIOCOUTQ_RESULT = struct.Struct("i")  # number of written bytes that are not acknowledged
+TIOCOUTQ_RESULT = struct.Struct("i")  # the number of written bytes that the peer's host has not acknowledged
 
 
 class ConnectionClosed(Exception):
--- a/swiftthread/server/connection_table.py
+++ b/swiftthread/server/connection_table.py
@@ -103,7 +103,7 @@
                 self.begin_close(connection)
 
     def has_unread_request(self) -> bool:
-        """Return whether anything has arrived on an inactive connection that was not read yet."""
+        """Return whether any inactive connection has unread input."""
         return not all(connection.has_nothing_to_read() for connection, _ in self.inactive())
 
     def evict_one(self) -> bool:
--- a/swiftthread/server/messages.py
+++ b/swiftthread/server/messages.py
@@ -16,7 +16,7 @@
 
 
 class BadRequest(Exception):
-    """A request is answered with an error status, after which its connection is closed.
+    """A request must be answered with an error status; its connection is closed afterwards.
 
     Attributes:
         status: HTTP status of the response.
--- a/swiftthread/server/response.py
+++ b/swiftthread/server/response.py
@@ -27,7 +27,7 @@
         connection: Connection to write to.
         status: HTTP status.
         closes_connection: Whether to announce that this response is the last one on the connection.
-        retry_after_ms: Value of Retry-After in ms; 0 sends no such header.
+        retry_after_ms: Time after which the client should resubmit (Retry-After); 0 sends no such header.
 
     Raises:
         ConnectionClosed: The connection has closed, or its state allows no further response.
--- a/swiftthread/server/submission.py
+++ b/swiftthread/server/submission.py
@@ -11,7 +11,7 @@
 from swiftthread.server.messages import BadRequest
 from swiftthread.storage.pending_event import PendingEvent
 
-MAX_BODY_BYTES = 64 * 1024  # documented limit
+MAX_BODY_BYTES = 64 * 1024  # the documented limit of an event's body
 HEALTH_PATH = "/_health"
 # Headers that may occur only once, because two values could differ.
 SINGLE_VALUE_HEADERS = frozenset(
