--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -107,7 +107,7 @@
     def check_and_send(connection):
         had_nothing_to_read = has_nothing_to_read(connection)
         if had_nothing_to_read and connection.socket.getpeername() == client.getsockname():
-            client.sendall(REQUEST % (b"late", 0))
+            client.sendall(REQUEST % (b"crossed", 0))
             while not unread_byte_count(connection.socket):
                 pass
         return had_nothing_to_read
@@ -153,7 +153,7 @@
     async def test(in_process):
         client = socket.create_connection(in_process.listener.getsockname())
         in_process.server.is_shutting_down = True
-        client.sendall(REQUEST % (b"first", 0) + REQUEST % (b"second", 60000) + bytes(60000))
+        client.sendall(REQUEST % (b"first", 0) + REQUEST % (b"behind", 60000) + bytes(60000))
         assert b"Connection: close" in await receive(client)
         assert await receive(client) == b"" and in_process.admitted_ids == ["first"]
         client.close()
