--- a/tests/configuration/test_node_config.py
+++ b/tests/configuration/test_node_config.py
@@ -71,7 +71,11 @@
         ("{", None, "it is not valid JSON"),
         ("[]", None, "it cannot be read: it is not a JSON object"),
         ({}, "name", "missing key 'name'"),
-        (DOCUMENT | {"listen": "x"}, "listen", "listen cannot be read: no address: 'x'"),
+        (
+            DOCUMENT | {"listen": "x"},
+            "listen",
+            "listen cannot be read: not an address of the form host:port: 'x'",
+        ),
         (DOCUMENT | {"discovery": 7}, "discovery", "discovery cannot be read"),
         (DOCUMENT | {"seed": "none"}, "seed", "seed cannot be read"),
         (DOCUMENT | {"settings": []}, "settings", "cannot be read"),
