--- a/swiftthread/service/__init__.py
+++ b/swiftthread/service/__init__.py
@@ -1,1 +1,1 @@
-"""Composition of a node: start, scheduling, the life of an event, reload and shutdown."""
+"""The node as a service: startup, scheduling, event delivery, configuration reload and shutdown."""
--- a/swiftthread/service/activity.py
+++ b/swiftthread/service/activity.py
@@ -1,4 +1,4 @@
-"""What a node did and why, for whoever reads its log: state changes as they happen, counts now and then."""
+"""Reports a node's activity in its log: state changes as they happen, and counts at regular intervals."""
 
 from __future__ import annotations
 
@@ -14,57 +14,57 @@
 from swiftthread.service.log_filter import STATE_CHANGE
 from swiftthread.storage.decision import FinalOutcome
 
-# s between two lines of counts.
 REPORT_INTERVAL_S = 10.0
 
 
 class AdmissionOutcome(StrEnum):
-    """What became of a submission, and why."""
+    """The outcome of a submission, with the reason for a rejection."""
 
-    ADMITTED = "admitted"
-    KNOWN = "known already"
-    CONFLICT = "refused: its id is another event's"
-    UNUSABLE = "refused: its time cannot be used"
-    TOO_MANY_EVENTS = "refused: too many events are pending"
-    TOO_MANY_BYTES = "refused: too many bytes are pending"
-    UNKNOWN_DESTINATION = "refused: no list names its destination"
-    SHUTTING_DOWN = "refused: the node stops"
-    NOT_LOGGED = "refused: the log cannot take it"
+    ACCEPTED = "accepted"
+    DUPLICATE = "already accepted (duplicates)"
+    CONFLICT = "rejected: another event has the same id"
+    INVALID_EXPIRY = "rejected: the remaining time is over or too long"
+    TOO_MANY_EVENTS = "rejected: too many events are pending"
+    TOO_MANY_BYTES = "rejected: the bodies of pending events take too much memory"
+    UNKNOWN_DESTINATION = "rejected: the destination is in no endpoint list"
+    SHUTTING_DOWN = "rejected: the node is shutting down"
+    NOT_LOGGED = "rejected: the write-ahead log is full or cannot be written"
 
 
 class Activity:
-    """Counts submissions, sends and ends, and logs changes of endpoints' states.
+    """Counts submissions, attempts and final outcomes, and logs state changes of endpoints.
 
     It is the `RoutingObserver` of a node.
     """
 
     def __init__(self) -> None:
         self.submissions: Counter[AdmissionOutcome] = Counter()
-        self.sends: Counter[SendOutcome] = Counter()
-        self.ends: Counter[FinalOutcome] = Counter()
+        self.attempts: Counter[SendOutcome] = Counter()
+        self.final_outcomes: Counter[FinalOutcome] = Counter()
         self.acked_count = 0
         self.down_count = 0
-        """Endpoints that were held to be down since the last report."""
+        """How many times an endpoint was marked down since the last report."""
 
     def endpoint_down(self, change: EndpointDown) -> None:
-        """Log that an endpoint is held to be down."""
+        """Log that an endpoint was marked down."""
         self.down_count += 1
-        unacked = f"none acked for {change.unacked_ms / 1000.0:.1f} s"
+        unacked = f"no call acked for {change.unacked_ms / 1000.0:.1f} s"
         logger.bind(**STATE_CHANGE).info(
-            "endpoint {} of destination {} is held to be down: {} calls failed in a row ({}), {}; "
-            "next trial in {:.1f} s",
+            "endpoint {} of destination {} was marked down: {} consecutive calls failed "
+            "(last outcome: {}), {}; next trial in {:.1f} s",
             change.endpoint_id,
             change.destination_number,
             change.consecutive_failures,
-            change.last_outcome or "others of its destination",
-            unacked if change.unacked_ms < math.inf else "none acked yet",
+            change.last_outcome or "none, other endpoints of the destination failed",
+            unacked if change.unacked_ms < math.inf else "no call acked yet",
             change.next_trial_ms / 1000.0,
         )
 
     def endpoint_recovering(self, change: EndpointRecovering) -> None:
-        """Log that an endpoint is back."""
+        """Log that an endpoint is up again and warms up."""
         logger.bind(**STATE_CHANGE).info(
-            "endpoint {} of destination {} is back, taken to warm up since {:.1f} s; next call in {:.1f} s",
+            "endpoint {} of destination {} is up again, with a warm-up assumed to have begun {:.1f} s ago; "
+            "next call in {:.1f} s",
             change.endpoint_id,
             change.destination_number,
             change.warm_up_elapsed_ms / 1000.0,
@@ -72,28 +72,28 @@
         )
 
     async def report(self) -> None:
-        """Log the counts of each interval in which there are any, until cancelled."""
+        """Log the counts at regular intervals until cancelled."""
         while True:
             await anyio.sleep(REPORT_INTERVAL_S)
             self.log_counts()
 
     def log_counts(self) -> None:
-        """Log the counts since the last time, and start anew; nothing when there are none."""
-        if self.submissions or self.sends or self.ends or self.acked_count:
+        """Log the counts since the previous report, unless all are 0, and reset them."""
+        if self.submissions or self.attempts or self.final_outcomes or self.acked_count:
             logger.bind(**STATE_CHANGE).info(
-                "submissions: {}; sends: {}; events: {} acked, {}; endpoints that went down: {}",
+                "submissions: {}; attempts: {}; events: {} acked, {}; endpoints marked down: {}",
                 _counts_text(self.submissions),
-                _counts_text(self.sends),
+                _counts_text(self.attempts),
                 self.acked_count,
-                _counts_text(self.ends),
+                _counts_text(self.final_outcomes),
                 self.down_count,
             )
         self.submissions.clear()
-        self.sends.clear()
-        self.ends.clear()
+        self.attempts.clear()
+        self.final_outcomes.clear()
         self.acked_count = 0
         self.down_count = 0
 
 
 def _counts_text(counts: Counter[AdmissionOutcome] | Counter[SendOutcome] | Counter[FinalOutcome]) -> str:
-    return ", ".join(f"{count} {what}" for what, count in counts.most_common()) or "none"
+    return ", ".join(f"{count} {key}" for key, count in counts.most_common()) or "none"
--- a/swiftthread/service/admission.py
+++ b/swiftthread/service/admission.py
@@ -1,20 +1,21 @@
-"""Load shedding: how many requests a node reads while it is behind with the events that it has.
+"""Load shedding: limits how many requests an overloaded node reads. No I/O.
 
-A node that reads whatever comes spends its CPU time on submissions while the events that it holds wait: more
-load, less done. So while its cycles come late, about as many requests are read in a cycle as events were
-decided in it. The rest wait in the kernel, unread, where they cost nothing; a client that gives up there has
-lost nothing, for its event was not admitted. No I/O.
+A node that reads every request spends its CPU time on submissions while its pending events wait, so its
+throughput falls as the load grows. Therefore, while scheduling cycles are delayed, about as many requests are
+read in a cycle as events were decided in it. The other requests stay unread in the kernel, where they cost
+nothing. A client that gives up meanwhile loses nothing, because its event was not accepted.
 """
 
 import math
 
-# x the pause between scheduling cycles: above this mean delay the node is behind.
+# The node is overloaded while the mean delay of its cycles exceeds this multiple of the scheduling interval.
 OVERLOAD_DELAY_CYCLES = 1.0
-# Weight of the newest cycle in that mean: one light cycle between heavy ones admits no crowd.
+# Weight of the latest cycle in that mean; it is small so that one cycle with little work among busy ones does
+# not lift the limit.
 DELAY_SMOOTHING = 0.1
-# Requests read in a scheduling cycle of an overloaded node: some are admitted whatever it does.
+# Minimum number of requests read in a cycle, so that even an overloaded node accepts some events.
 MIN_REQUESTS_PER_CYCLE = 8
-# x the events decided in a scheduling cycle: somewhat less is admitted than leaves, so that the queues empty.
+# Requests read per event decided in a cycle. It is below 1 so that the queues drain.
 ADMITTED_SHARE = 0.9
 
 
@@ -24,25 +25,25 @@
     Attributes:
         scheduling_interval_ms: Pause between two scheduling cycles.
         mean_delay_ms: Smoothed delay of the scheduling cycles.
-        remaining: Requests that may still be read until the next scheduling cycle.
+        remaining_requests: Requests that may still be read until the next scheduling cycle.
     """
 
     def __init__(self, scheduling_interval_ms: float) -> None:
         self.scheduling_interval_ms = scheduling_interval_ms
         self.mean_delay_ms = 0.0
-        self.remaining = math.inf
+        self.remaining_requests = math.inf
 
-    def record_cycle(self, late_ms: float, decided_count: int) -> None:
-        """A scheduling cycle came so late, and so many events were decided in it."""
-        self.mean_delay_ms += DELAY_SMOOTHING * (late_ms - self.mean_delay_ms)
+    def record_cycle(self, delay_ms: float, decided_count: int) -> None:
+        """Record the delay of a scheduling cycle and the number of events that it decided."""
+        self.mean_delay_ms += DELAY_SMOOTHING * (delay_ms - self.mean_delay_ms)
         if self.mean_delay_ms > OVERLOAD_DELAY_CYCLES * self.scheduling_interval_ms:
-            self.remaining = max(MIN_REQUESTS_PER_CYCLE, ADMITTED_SHARE * decided_count)
+            self.remaining_requests = max(MIN_REQUESTS_PER_CYCLE, ADMITTED_SHARE * decided_count)
         else:
-            self.remaining = math.inf
+            self.remaining_requests = math.inf
 
     def try_admit(self) -> bool:
-        """Whether one more request may be read now; if so it is counted."""
-        if self.remaining < 1:
+        """Returns whether one more request may be read now, and counts it if so."""
+        if self.remaining_requests < 1:
             return False
-        self.remaining -= 1
+        self.remaining_requests -= 1
         return True
--- a/swiftthread/service/composition.py
+++ b/swiftthread/service/composition.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a node, each from those that it needs."""
+"""Builds the components of a node and connects them."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 class NodeBuilder:
-    """Builds one node that is not started yet and knows the configuration's endpoint list.
+    """Builds one node, not yet started, that has the endpoint list of the configuration.
 
     Args:
-        config: What the node is told at start.
-        limits: What it may use.
-        log: Its open log, which outlives the node.
-        log_clock: The clock of the moments that the log stores.
-        tasks: Where its tasks run.
+        config: Configuration of the node.
+        limits: Resources that the node may use.
+        log: The open write-ahead log, which is closed after the node has ended.
+        log_clock: Clock of the timestamps in the log.
+        tasks: Task group in which the node's tasks run.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._admission = AdmissionController(config.settings.scheduling_interval_ms)
 
     def build(self) -> Node:
-        """Build the node."""
+        """Build all components and the node itself."""
         discovery = self._build_discovery()
         connections = ConnectionPool(
             monotonic_ms, self._limits.max_idle_ms, self._limits.max_idle_connections
@@ -78,7 +78,7 @@
         delivery = self._build_delivery(endpoint_client, notifier)
         submissions = self._build_submissions(delivery)
         server = self._build_server(submissions)
-        self._apply_known_list(discovery)
+        self._apply_initial_list(discovery)
         return Node(
             router=self._router,
             scheduler=self._scheduler,
@@ -171,8 +171,8 @@
             request_cycle=self._scheduler.request_cycle,
         )
 
-    def _apply_known_list(self, discovery: DiscoveryClient) -> None:
-        """Start with the configuration's endpoint list, until the watch tells a newer one."""
+    def _apply_initial_list(self, discovery: DiscoveryClient) -> None:
+        """Use the configuration's endpoint list until the discovery watch delivers a newer one."""
         initial_list = self._config.initial_list
         if not initial_list:
             return
@@ -180,4 +180,8 @@
             entries, is_complete = discovery.parse_list(initial_list)
             self._router.apply_endpoint_list(entries, is_complete, monotonic_ms())
         except UNREADABLE as error:
-            logger.warning("the configuration's known list cannot be read ({}); the watch will tell", error)
+            logger.warning(
+                "the endpoint list (known) in the configuration is invalid ({}); "
+                "the node waits for the list from discovery",
+                error,
+            )
--- a/swiftthread/service/delivery.py
+++ b/swiftthread/service/delivery.py
@@ -1,4 +1,4 @@
-"""The life of an admitted event: attempts, final outcome, notification."""
+"""Delivery of an accepted event: attempts, final outcome and notification."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-# ms before a log that took nothing is tried again; a latency objective has room for several.
+# Pause before the next write to a log that failed; several such pauses fit into a latency objective.
 LOG_RETRY_PAUSE_MS = 100.0
 
 
 class EventDelivery:
-    """Carries each admitted event from its admission, or from the log, to its final outcome.
+    """Takes each event from its admission, or from the log after a restart, to its final outcome.
 
     Attributes:
-        pending_bytes: Bytes of the bodies of the events in delivery.
+        pending_bytes: Total size of the bodies of the events in delivery.
     """
 
     def __init__(
@@ -63,15 +63,17 @@
         self._tasks = tasks
 
     def add(self, pending: PendingEvent) -> Event:
-        """Hand an event to the router, with what the log knows of its attempts."""
+        """Add an event to the router, with the attempts that the log has recorded for it."""
         now = self._clock()
         log_now = self._log_clock()
         if self._tenant_numbers and pending.tenant not in self._tenant_numbers:
             logger.warning(
-                "{}: tenant {!r} is none of the settings'; it has no quota", pending.event_id, pending.tenant
+                "event {}: tenant {!r} is not in the settings, so the event has no quota",
+                pending.event_id,
+                pending.tenant,
             )
         stream_type_number = self._stream_type_numbers[pending.stream_type]
-        # After another boot the clock may be behind: no event gets more time than it ever had.
+        # After a reboot the clock may be behind, so no event gets more time than its max age.
         max_age_ms = self._router.stream_types[stream_type_number].max_age_ms
         event: Event = self._router.add_event(
             now,
@@ -85,48 +87,51 @@
         event.attempts = pending.attempts
         if pending.may_have_run is not None:
             sent_at, group = pending.may_have_run
-            # After another boot the clock may be behind: an attempt is never ahead of us.
+            # After a reboot the clock may be behind, so the time of an attempt must not lie in the future.
             event.may_have_run_at = now - max(0.0, log_now - sent_at)
             event.may_have_run_group = group
         self.pending_bytes += len(pending.body)
         return event
 
     def start(self, pending: PendingEvent, event: Event) -> None:
-        """Deliver an event that was added, in a task of its own."""
+        """Deliver an event that was added to the router, in a separate task."""
         self._tasks.start_soon(self._run, pending, event)
 
     def resume(self) -> None:
-        """Go on with the events that the log holds."""
+        """Resume the delivery of the events in the log."""
         for pending in list(self._log.pending.values()):
             if pending.stream_type not in self._stream_type_numbers:
-                self._end_unknown_stream_type(pending)
+                self._finish_unknown_stream_type(pending)
                 continue
             event = self.add(pending)
             if pending.decision is not None:
                 self._router.withdraw(event, self._clock())
             self.start(pending, event)
 
-    def _end_unknown_stream_type(self, pending: PendingEvent) -> None:
+    def _finish_unknown_stream_type(self, pending: PendingEvent) -> None:
         logger.error(
-            "{} is pending, but of a stream type that is no more: {}; it ends",
+            "event {} in the log has a stream type that is not in the settings: {}; it is not delivered",
             pending.event_id,
             pending.stream_type,
         )
-        # What surely never ran may be submitted again.
+        # Only an event that certainly never ran may be resubmitted by its client.
         outcome = FinalOutcome.ABANDONED if pending.may_have_run else FinalOutcome.REJECTED
         self._tasks.start_soon(self._notify, pending, Decision(outcome, 0.0))
 
     async def _run(self, pending: PendingEvent, event: Event) -> None:
-        """An event, from the moment that its client has heard of it to its end."""
+        """Deliver an event until it is acked or has a final outcome, and record which.
+
+        It starts after the response to the client was sent, or the client disconnected.
+        """
         try:
             await self._deliver(pending, event)
-        except Exception:  # guards the other events: an error ends this one alone, its effect unknown
-            logger.exception("{}: the delivery failed; the event is abandoned", pending.event_id)
+        except Exception:  # protects the other events: only this one is abandoned, for its effect is unknown
+            logger.exception("event {}: the delivery failed; the event is abandoned", pending.event_id)
             self._router.withdraw(event, self._clock())
             pending.decision = Decision(FinalOutcome.ABANDONED, 0.0)
         self._scheduler.remove(event)
         if pending.decision is not None:
-            self._activity.ends[pending.decision.outcome] += 1
+            self._activity.final_outcomes[pending.decision.outcome] += 1
             await self._notify(pending, pending.decision)
         else:
             self._activity.acked_count += 1
@@ -134,28 +139,28 @@
         self.pending_bytes -= len(pending.body)
 
     async def _deliver(self, pending: PendingEvent, event: Event) -> None:
-        """Attempt until the event is acknowledged, or its final outcome is decided."""
+        """Make attempts until the event is acked or its final outcome is decided."""
         while pending.decision is None:
-            answer: Send | Reject | Abandon | Defer | None = await self._scheduler.wait_for_decision(event)
-            if isinstance(answer, Send):
-                answer = await self._attempt(pending, event, answer)
-            if answer is None:
+            decision: Send | Reject | Abandon | Defer | None = await self._scheduler.wait_for_decision(event)
+            if isinstance(decision, Send):
+                decision = await self._attempt(pending, event, decision)
+            if decision is None:
                 return
-            if not isinstance(answer, Defer):
-                pending.decision = _final_decision(answer)
+            if not isinstance(decision, Defer):
+                pending.decision = _final_decision(decision)
 
     async def _attempt(
         self, pending: PendingEvent, event: Event, send: Send
     ) -> Reject | Abandon | Defer | None:
-        """One attempt, and what the router decides after it; None once the event is finished."""
+        """Make one attempt; returns the router's next decision, or None once the event is finished."""
         is_logged = self._log.append_sent(pending, event.sent_group)
         if is_logged:
             result = await self._endpoint_client.send(pending, send)
         else:
             result = await self._skip_unlogged_send()
-        self._activity.sends[result.outcome] += 1
+        self._activity.attempts[result.outcome] += 1
         now = await self._scheduler.wait_for_cycle()
-        answer = self._router.record_outcome(
+        decision = self._router.record_outcome(
             event,
             result.outcome,
             now,
@@ -165,25 +170,25 @@
             result.load_report,
         )
         self._scheduler.wake(event.destination)
-        # Where this attempt is not logged, the log has an earlier one as in flight.
+        # If this attempt is not logged, the log has an earlier one as in flight, which may have run.
         if is_logged and result.outcome in NEVER_RAN:
             self._log.append_never_ran(pending)
-        return None if result.is_finished else answer
+        return None if result.is_finished else decision
 
     @staticmethod
     async def _skip_unlogged_send() -> SendResult:
-        """Result of a send that the log cannot take.
+        """Returns the result of a send that could not be logged and so was not made.
 
-        Not at once, or a full disk would be tried all the time.
+        It does so after a pause, because otherwise writes to a full disk would be retried continuously.
         """
         await anyio.sleep(LOG_RETRY_PAUSE_MS / 1000.0)
         return SendResult(SendOutcome.NOT_SENT, 0.0)
 
     async def _notify(self, pending: PendingEvent, decision: Decision) -> None:
-        """Notify the platform of a final outcome once it is in the log, or the event has expired.
+        """Notify the platform of a final outcome once it is in the log, or once the event has expired.
 
-        A process that comes back and knows nothing of it would deliver an event that its client has submitted
-        elsewhere.
+        Without the log entry, a restarted process would deliver an event that its client has meanwhile
+        resubmitted to another node.
         """
         while not self._log.append_decision(pending, decision) and self._log_clock() < pending.expires_at:
             await anyio.sleep(LOG_RETRY_PAUSE_MS / 1000.0)
@@ -191,7 +196,7 @@
         self._log.append_ended(pending)
 
 
-def _final_decision(answer: Reject | Abandon) -> Decision:
-    if isinstance(answer, Reject):
-        return Decision(FinalOutcome.REJECTED, answer.retry_after_ms)
+def _final_decision(decision: Reject | Abandon) -> Decision:
+    if isinstance(decision, Reject):
+        return Decision(FinalOutcome.REJECTED, decision.retry_after_ms)
     return Decision(FinalOutcome.ABANDONED, 0.0)
--- a/swiftthread/service/limits.py
+++ b/swiftthread/service/limits.py
@@ -1,77 +1,81 @@
-"""Limits that a node keeps whatever the router decides.
+"""Resource limits and time-outs that do not depend on the router.
 
-The machine's limits shared out, and the time-outs of the HTTP server and of the clients of the platform. What
-is sent where, when and whether is decided in `swiftthread.routing` alone.
+They divide the machine's limits among their uses, and set the time-outs of the HTTP server and of the clients
+of the platform. Only `swiftthread.routing` decides whether, when and where an event is sent.
 """
 
 from collections.abc import Mapping
 from dataclasses import InitVar, dataclass, field
 from typing import Any
 
-# ms from the accept to the end of a connection's first request: strangers are owed an end within 3 s.
+# Time from the accept of a connection to the end of its first request. A connection of an unknown
+# client must be closed within 3 s.
 FIRST_REQUEST_TIMEOUT_MS = 2200.0
-# ms from a request's first byte to its last: four times a client's patience.
+# Time from the first byte of a request to its last: four times as long as a client waits.
 REQUEST_TIMEOUT_MS = 1500.0
-# ms after which an idle client connection is closed: 2 s at least, and some are never used again.
+# Idle time after which a client connection is closed. It has to be 2 s at least, and is limited because some
+# connections are never used again.
 CLIENT_IDLE_TIMEOUT_MS = 8000.0
-# ms without a line on the watch. It sends an empty line every 2 s: two missed, and it is opened anew. With
-# the pause before that (0.3 s at most) and the response it stays inside the 6 s after which a change counts
-# as told.
+# Time without a line on the discovery watch after which the watch is reopened. Discovery sends an empty line
+# every 2 s, so two are missing by then. Together with the pause before the reopening (at most 0.3 s) and the
+# response, this stays within the 6 s after which the node is expected to know of a change.
 WATCH_IDLE_TIMEOUT_MS = 4200.0
-# ms for a response of discovery, or to a notification, which come at once by the platform's contract.
+# Time for a response of discovery or to a notification; by the platform's contract they arrive at once.
 PLATFORM_RESPONSE_TIMEOUT_MS = 1500.0
-# ms before a notification is repeated that was not answered 204: half of the slack that it has.
+# Pause before a notification is repeated whose response was not 204: half of the time that it may be late.
 NOTIFICATION_RETRY_PAUSE_MS = 150.0
 
-# Defaults of what the configuration does not limit.
+# Defaults for limits that the configuration does not contain.
 DEFAULT_SOCKETS = 1024
 DEFAULT_DISK_MB = 3
 DEFAULT_MEMORY_MB = 192
 DEFAULT_CONNECT_TIMEOUT_MS = 1500.0
 
-# Connections that wait to be accepted: as many nodes or clients may come at one moment.
+# Minimum number of connections waiting to be accepted, since this many nodes or clients may connect at once.
 MIN_BACKLOG = 1024
-# The event loop's own, the log, the listener, discovery, notifications, and some for accepts to be rejected.
+# Sockets for the event loop, the log, the listener, discovery, notifications, and for connections that are
+# accepted only to be rejected.
 RESERVED_SOCKETS = 32
-# Least number of idle connections, of clients, and of clients between requests, however few the sockets.
+# Minimum number of idle connections to endpoints, of client connections, and of idle client connections, even
+# with few sockets.
 MIN_CONNECTIONS = 4
-# Of the sockets: idle connections to endpoints.
+# Share of the sockets for idle connections to endpoints.
 IDLE_CONNECTION_SHARE = 0.25
-# Of the sockets: client connections kept between requests; clients may hold a third in all.
+# Share of the sockets for idle client connections; clients may use a third in total.
 IDLE_CLIENT_SHARE = 0.125
-# Of the slots that the settings leave open: one in so many sockets.
+# Number of sockets per call slot, if the settings do not limit the calls in flight.
 SOCKETS_PER_DEFAULT_SLOT = 4
-# Of the endpoints' keep-alive time: an endpoint closes an idle connection at its time or before, so that ours
-# must end earlier.
-IDLE_TIME_SHARE = 0.8
-# ms: longest keep-alive time that is made use of.
+# Share of the endpoints' keep-alive time for which the node retains an idle connection. It is below 1 because
+# an endpoint closes an idle connection at its keep-alive time or before, and the node must close it first.
+KEEPALIVE_TIME_SHARE = 0.8
+# Longest keep-alive time that the node uses.
 MAX_KEEPALIVE_MS = 60000.0
-# Of the memory: bodies of pending events; enough beside the interpreter.
+# Share of the memory for the bodies of pending events; the interpreter needs most of the rest.
 PENDING_BODIES_MEMORY_SHARE = 1 / 8
 BYTES_PER_MIB = 1024 * 1024
-# The smaller of two readings of "MB".
+# "MB" can mean 1000 or 1024 squared bytes; this is the smaller one.
 BYTES_PER_DISK_MB = 1000 * 1000
 
 
 @dataclass
 class Limits:
-    """Limits of one node, shared out of what the configuration grants it.
+    """Limits of one node, derived from the limits in the configuration.
 
     Args:
-        machine_limits: `sockets`, `disk_mb` and `memory_mb` of the configuration; each has a default.
-        max_calls_in_flight: Calls to endpoints at once; 0 or infinite when the settings leave it open.
-        keepalive_ms: How long endpoints keep an idle connection.
-        connect_timeout_setting_ms: Time-out of a connect to an endpoint; 0 when the settings leave it open.
+        machine_limits: `sockets`, `disk_mb` and `memory_mb` from the configuration; each has a default.
+        max_calls_in_flight: Maximum number of concurrent calls to endpoints; 0 or inf if not set.
+        keepalive_ms: How long endpoints keep an idle connection open.
+        connect_timeout_setting_ms: Time-out of a connect to an endpoint; 0 if not set.
 
     Attributes:
-        max_idle_connections: Idle connections to endpoints.
-        max_idle_ms: How long one of them may be idle.
-        max_clients: Client connections.
-        max_idle_clients: Client connections kept between requests.
-        backlog: Connections that wait to be accepted.
-        disk_bytes: Bytes that the write-ahead log may use.
+        max_idle_connections: Maximum number of idle connections to endpoints.
+        max_idle_ms: How long such a connection may be idle.
+        max_clients: Maximum number of client connections.
+        max_idle_clients: Maximum number of idle client connections.
+        backlog: Maximum number of connections waiting to be accepted.
+        disk_bytes: Maximum size of the write-ahead log.
         connect_timeout_ms: Time-out of a connect to an endpoint.
-        max_pending_bytes: Bytes of the bodies of pending events.
+        max_pending_bytes: Maximum total size of the bodies of pending events.
     """
 
     machine_limits: InitVar[Mapping[str, Any]]
@@ -100,12 +104,12 @@
         else:
             slots = sockets // SOCKETS_PER_DEFAULT_SLOT
         self.max_idle_connections = max(MIN_CONNECTIONS, int(IDLE_CONNECTION_SHARE * sockets) - slots)
-        for_clients = sockets - RESERVED_SOCKETS - self.max_idle_connections - 2 * slots
-        self.max_clients = max(MIN_CONNECTIONS, for_clients)
+        sockets_for_clients = sockets - RESERVED_SOCKETS - self.max_idle_connections - 2 * slots
+        self.max_clients = max(MIN_CONNECTIONS, sockets_for_clients)
         self.max_idle_clients = max(MIN_CONNECTIONS, int(IDLE_CLIENT_SHARE * sockets))
         self.backlog = max(MIN_BACKLOG, sockets)
         self.disk_bytes = int(float(machine_limits.get("disk_mb") or DEFAULT_DISK_MB) * BYTES_PER_DISK_MB)
-        self.max_idle_ms = IDLE_TIME_SHARE * min(keepalive_ms, MAX_KEEPALIVE_MS)
+        self.max_idle_ms = KEEPALIVE_TIME_SHARE * min(keepalive_ms, MAX_KEEPALIVE_MS)
         self.connect_timeout_ms = connect_timeout_setting_ms or DEFAULT_CONNECT_TIMEOUT_MS
         memory_bytes = float(machine_limits.get("memory_mb") or DEFAULT_MEMORY_MB) * BYTES_PER_MIB
         self.max_pending_bytes = int(memory_bytes * PENDING_BODIES_MEMORY_SHARE)
--- a/swiftthread/service/node.py
+++ b/swiftthread/service/node.py
@@ -1,4 +1,4 @@
-"""One delivery node: what runs beside the deliveries of single events."""
+"""One delivery node, with the tasks that are not specific to one event."""
 
 from __future__ import annotations
 
@@ -29,9 +29,10 @@
 
 @dataclass(kw_only=True)
 class Node:
-    """The parts of a node, and the tasks that join them.
+    """The components of a node, and the tasks that connect them.
 
-    `connections` are the idle ones to endpoints. `log` and `connections` are closed by the owner of the node.
+    `connections` contains the idle connections to endpoints. The owner of the node closes `log` and
+    `connections`.
     """
 
     router: Router
@@ -50,17 +51,20 @@
     tasks: TaskGroup
 
     def start(self) -> None:
-        """Resume what the log holds, and start the tasks that run as long as the node."""
+        """Resume the events in the log, and start the tasks that run for the lifetime of the node."""
         self.delivery.resume()
         self.tasks.start_soon(self.notifier.run)
         self.tasks.start_soon(self.scheduler.run, self._on_cycle)
         self.tasks.start_soon(self._follow_discovery)
         self.tasks.start_soon(self.activity.report)
 
-    def _on_cycle(self, now: float, decided_count: int, late_ms: float) -> None:
-        """What a cycle leads to besides decisions: batches, admission, health checks, idle connections."""
+    def _on_cycle(self, now: float, decided_count: int, delay_ms: float) -> None:
+        """Do the work that follows each scheduling cycle.
+
+        It starts calls, admits waiting requests, starts health checks and closes idle connections.
+        """
         self.endpoint_client.start_batches()
-        self.admission.record_cycle(late_ms, decided_count)
+        self.admission.record_cycle(delay_ms, decided_count)
         self.server.admit_waiting()
         for endpoint in self.router.endpoints_due_for_health_check(now):
             self.tasks.start_soon(self._check_health, endpoint)
@@ -68,7 +72,7 @@
             self.endpoint_client.close_idle_connections(endpoint)
 
     async def _check_health(self, endpoint: Endpoint) -> None:
-        """Send one health check and tell the router its outcome."""
+        """Make one health check and record its outcome in the router."""
         result = await self.endpoint_client.check_health(endpoint)
         now = await self.scheduler.wait_for_cycle()
         self.router.record_health_check(
@@ -77,13 +81,13 @@
         self.scheduler.wake(endpoint.destination)
 
     async def _apply_endpoint_list(self, entries: list[EndpointEntry], is_complete: bool) -> None:
-        """Tell the router a list of endpoints, or a change of it."""
+        """Apply a complete endpoint list, or a change to it, to the router."""
         now = await self.scheduler.wait_for_cycle()
         self.router.apply_endpoint_list(entries, is_complete, now)
         self.scheduler.wake()
 
     async def _follow_discovery(self) -> None:
-        """Keep a watch open; when it fails, the router says when to open the next."""
+        """Keep a discovery watch open; after a failure the router determines when to open the next one."""
         while True:
             if not await self.discovery.watch(self._apply_endpoint_list):
                 continue
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -1,9 +1,12 @@
-"""Queues of pending events: a scheduling cycle costs what can move, not what is held. No I/O.
+"""Queues of pending events. No I/O.
 
-The router decides everything: the order, and what becomes of each event. Known here is only whom to ask.
-Events of one destination that the router treats alike stand in one `QueueGroup`; when its most urgent event
-is deferred, so would be all behind it, and none of them is asked. An ordered event whose ordering key has
-others before it is in no group until it is the next.
+The cost of a scheduling cycle depends on the number of events that can be decided, not on the number pending.
+
+The router makes every decision: the order of the events and what happens to each. This module only selects
+the events that the router is asked to decide. Events of one destination that the router treats alike share
+one `QueueGroup`: when the router defers the most urgent of them, it would also defer all events behind it, so
+it is not asked about those. An ordered event is in no group while earlier events of its ordering key are
+pending.
 """
 
 import heapq
@@ -18,22 +21,22 @@
 from swiftthread.service.queue_group import EVENT, QueueEntry, QueueGroup
 from swiftthread.service.queue_timers import EventTimers, GroupTimers
 
-# Events asked behind a deferred one where routes are separate or a call can be joined: what one of them waits
-# for, another may not.
-MAX_ASKED_BEHIND_DEFERRED = 3
-# ms: least time until an event is asked again whose deadline the router has moved.
+# Number of events behind a deferred one that the router is still asked to decide, where endpoints have
+# separate limits or a call can be joined: there, the reason to defer one event need not apply to the next.
+MAX_EVENTS_BEHIND_DEFERRED = 3
+# Minimum time until the router is asked again about an event whose deadline it has extended.
 MIN_DEADLINE_EXTENSION_MS = 1.0
 
 
 class EventDecision(NamedTuple):
-    """What the router decided for an event, or the exception with which it failed."""
+    """The router's decision on an event, or the exception that it raised instead."""
 
     event: Event
-    answer: Send | Reject | Abandon | Exception
+    decision: Send | Reject | Abandon | Exception
 
 
 class GroupHead(NamedTuple):
-    """The rank of a group's most urgent event; the lowest is asked first."""
+    """The rank of a group's most urgent event; the group with the lowest rank comes first."""
 
     rank: tuple[float, float]
     sequence_number: int
@@ -41,16 +44,17 @@
 
 
 class PendingQueues:
-    """Pending events, and the order in which the router is asked for them.
+    """Pending events, and the order in which the router is asked to decide them.
 
     Attributes:
-        group_of: Pending event -> its group, None while its ordering key has others; emptied as events leave.
-        groups: Groups by key; emptied with their last event.
-        groups_by_destination: The same groups (as an ordered set) by destination; emptied with them.
-        waiting_for_slot: Ordered set of groups that may wait for a slot of any destination; emptied by the
-            next outcome.
-        event_timers: Deadlines and rests of events.
-        group_timers: Wake-ups of deferred groups.
+        group_of: Pending event -> its group, or None while it waits for its ordering key; an entry is removed
+            when its event leaves.
+        groups: Groups by key; a group is removed with its last event.
+        groups_by_destination: The same groups (as ordered sets) by destination; removed together with them.
+        waiting_for_slot: Ordered set of groups that may wait for a slot held by a call to any destination;
+            emptied by the next outcome.
+        event_timers: Deadlines of events, and ends of the pauses of their ordering keys.
+        group_timers: Times at which deferred groups become ready.
     """
 
     def __init__(self, router: Router) -> None:
@@ -62,12 +66,12 @@
         self.event_timers = EventTimers()
         self.group_timers = GroupTimers()
         self._next_sequence_number = count()
-        # Ordered set of groups to ask in the next scheduling cycle; emptied by it.
+        # Ordered set of groups that the next scheduling cycle handles; emptied by it.
         self._ready: dict[QueueGroup, bool] = {}
-        # Decided in this cycle; emptied at its end, or at the next one's where an error broke it off.
+        # Decisions of this cycle; emptied at its end. If an error aborts it, the next cycle returns them.
         self._decided: list[EventDecision] = []
-        # Ordered set of the ordering keys of which an event has left; emptied by each scheduling cycle.
-        self._released_ordering_keys: dict[Hashable, bool] = {}
+        # Ordered set of ordering keys of which an event has left since the last cycle; emptied by each cycle.
+        self._unblocked_ordering_keys: dict[Hashable, bool] = {}
 
     def __len__(self) -> int:
         return len(self.group_of)
@@ -79,17 +83,20 @@
         self._enqueue(event, now)
 
     def remove(self, event: Event) -> None:
-        """Forget an event that ended or was decided: the next of its ordering key may go."""
+        """Remove an event that was decided or finished; the next event of its ordering key may follow."""
         self._leave_group(event)
         self.group_of.pop(event, None)
         self.event_timers.cancel(event)
         if event.ordering_key:
-            self._released_ordering_keys[event.ordering_key] = True
+            self._unblocked_ordering_keys[event.ordering_key] = True
 
     def wake(self, destination: Destination | None = None) -> None:
-        """Ask again in the next cycle, for the router has learnt something of a destination (None: of any).
+        """Make deferred groups ready again after a change in the router.
+
+        These are the groups of the destination and those that may wait for a call slot.
 
-        Its groups are asked, and those that may wait for a slot.
+        Args:
+            destination: Destination whose state changed; None makes all groups ready.
         """
         if destination is None:
             self._ready.update(dict.fromkeys(self.groups.values(), True))
@@ -100,15 +107,16 @@
             self.waiting_for_slot.clear()
 
     def next_wakeup_at(self) -> float:
-        """When the next scheduling cycle is due (ms); -inf when events can move now."""
-        if self._ready or self._released_ordering_keys:
+        """Returns when the next scheduling cycle is due (ms); -inf when events may be decided now."""
+        if self._ready or self._unblocked_ordering_keys:
             return -math.inf
         return min(self.group_timers.next_at(), self.event_timers.next_at())
 
     def run_cycle(self, now: float) -> list[EventDecision]:
-        """Ask the router; return what it decided, in the order asked. Those events are queued no more.
+        """Ask the router to decide events, and return its decisions in that order.
 
-        An event for which the router fails is returned with its exception: the others must not wait for it.
+        Decided events leave the queues. An event for which the router raises an exception is returned with
+        that exception, so that it does not hold up the others.
         """
         self._handle_due_events(now)
         self._enqueue_next_in_order(now)
@@ -122,11 +130,11 @@
         return decided
 
     def _enqueue(self, event: Event, now: float) -> None:
-        """Put an event into its group, unless its ordering key has others before it or rests."""
+        """Put an event into its group, unless its ordering key is paused or has earlier events."""
         may_send_at = self.router.ordering_ready_at(event, now)
         if may_send_at > now:
             if may_send_at < math.inf:
-                self.event_timers.start_rest(event, may_send_at)
+                self.event_timers.start_pause(event, may_send_at)
             return
         key = (event.destination, *self.router.queue_class(event))
         group = self.groups.get(key)
@@ -138,7 +146,7 @@
         self.group_of[event] = group
 
     def _leave_group(self, event: Event) -> None:
-        """Take an event out of its group; a group without events goes."""
+        """Take an event out of its group, and remove the group when it becomes empty."""
         group = self.group_of.get(event)
         if group is None:
             return
@@ -157,36 +165,36 @@
         self._ready.pop(group, None)
 
     def _handle_due_events(self, now: float) -> None:
-        """Ask for events at their deadline, and queue those whose ordering key has rested."""
+        """Decide events at their deadline, and enqueue events whose ordering key's pause is over."""
         for event, is_deadline in self.event_timers.pop_due(now):
             if not is_deadline:
                 if self.group_of[event] is None:
                     self._enqueue(event, now)
-            elif isinstance(self._ask(event, now), Defer):  # the router has moved its deadline
+            elif isinstance(self._ask(event, now), Defer):  # the router has extended its deadline
                 extended_to = self.router.give_up_at(event, now)
                 self.event_timers.set_deadline(event, max(now + MIN_DEADLINE_EXTENSION_MS, extended_to))
 
     def _enqueue_next_in_order(self, now: float) -> None:
-        for ordering_key in self._released_ordering_keys:
+        for ordering_key in self._unblocked_ordering_keys:
             event = self.router.next_in_order(ordering_key)
             if event in self.group_of and self.group_of[event] is None:
                 self._enqueue(event, now)
-        self._released_ordering_keys.clear()
+        self._unblocked_ordering_keys.clear()
 
     def _ask(self, event: Event, now: float) -> Send | Reject | Abandon | Defer | Exception:
-        """Ask the router for one event, which is queued no more once it is decided."""
-        answer: Send | Reject | Abandon | Defer | Exception
+        """Ask the router to decide one event; unless it is deferred, the event leaves the queues."""
+        decision: Send | Reject | Abandon | Defer | Exception
         try:
-            answer = self.router.decide(event, now)
-        except Exception as error:  # ends this event alone: raised where its decision is awaited
-            answer = error
-        if not isinstance(answer, Defer):
+            decision = self.router.decide(event, now)
+        except Exception as error:  # affects this event only: raised where its decision is awaited
+            decision = error
+        if not isinstance(decision, Defer):
             self.remove(event)
-            self._decided.append(EventDecision(event, answer))
-        return answer
+            self._decided.append(EventDecision(event, decision))
+        return decision
 
     def _shed_load(self, now: float) -> None:
-        """Over capacity, ask for the least urgent events of the longest queues: the router rejects them."""
+        """Let the router reject the least urgent events of the longest queues until it is within capacity."""
         for destination in sorted(
             self.groups_by_destination, key=lambda destination: -destination.pending_count
         ):
@@ -201,31 +209,31 @@
                 return
 
     def _ask_ready_groups(self, now: float) -> None:
-        """Ask for the most urgent event of all ready groups, again and again, while they move."""
+        """Decide the most urgent event of all ready groups repeatedly, until each is deferred or empty."""
         ready = self._ready
         self._ready = {}
         heads: list[GroupHead] = []
-        sent_to: set[Destination] = set()
+        destinations_sent_to: set[Destination] = set()
         for group in ready:
             self._push_head(group, now, heads)
         while heads:
             group = heapq.heappop(heads).group
-            if self.router.all_slots_in_use() and group.destination not in sent_to:
-                # Nothing moves but what joins a call of this scheduling cycle.
+            if self.router.all_slots_in_use() and group.destination not in destinations_sent_to:
+                # Only events that join a call of this scheduling cycle can still be sent.
                 self.waiting_for_slot[group] = True
-                group.asleep_until = math.inf
+                group.deferred_until = math.inf
                 continue
             event = group.entries[-1][EVENT]
-            answer = self._ask(event, now)
-            if isinstance(answer, Defer):
+            decision = self._ask(event, now)
+            if isinstance(decision, Defer):
                 self._defer(group, event, now)
                 continue
-            if isinstance(answer, Send):
-                sent_to.add(group.destination)
+            if isinstance(decision, Send):
+                destinations_sent_to.add(group.destination)
             self._push_head(group, now, heads)
 
     def _push_head(self, group: QueueGroup, now: float, heads: list[GroupHead]) -> None:
-        """Put a group's most urgent event among those to ask, if it has any."""
+        """Add a group's most urgent event to `heads`, if the group has any event that may be sent now."""
         while True:
             group.sort_if_due(now, self._next_sequence_number)
             event = group.next_event()
@@ -235,19 +243,22 @@
                 rank = group.rank(event, now)
                 heapq.heappush(heads, GroupHead(rank, next(self._next_sequence_number), group))
                 return
-            # An earlier attempt of its ordering key ended meanwhile, and the key rests.
+            # Meanwhile an earlier attempt of its ordering key finished, so the key is paused.
             group.entries.pop()
             self._leave_group(event)
             self._enqueue(event, now)
 
     def _defer(self, group: QueueGroup, event: Event, now: float) -> None:
-        """The most urgent event was deferred: its group waits until then, or for what ends before."""
+        """Let a group wait after its most urgent event was deferred.
+
+        It waits until the time of the next check, or until an outcome makes it ready earlier.
+        """
         next_check = self.router.next_check(event, now)
-        group.asleep_until = next_check.at
+        group.deferred_until = next_check.at
         if next_check.or_after_outcome and self.router.slots_are_scarce():
             self.waiting_for_slot[group] = True
         self.group_timers.start(group)
         destination = group.destination
         if self.router.has_separate_routes(destination) or self.router.has_joinable_call(destination, now):
-            for event_behind in group.events_behind_next(MAX_ASKED_BEHIND_DEFERRED):
+            for event_behind in group.events_behind_next(MAX_EVENTS_BEHIND_DEFERRED):
                 self._ask(event_behind, now)
--- a/swiftthread/service/queue_group.py
+++ b/swiftthread/service/queue_group.py
@@ -1,4 +1,4 @@
-"""One queue of pending events of a destination that the router treats alike."""
+"""A queue of pending events of one destination that the router treats alike."""
 
 import math
 from bisect import insort
@@ -8,18 +8,18 @@
 from swiftthread.routing.events import Destination, Event
 from swiftthread.routing.router import Router
 
-# ms, plus ms for each entry: age from which the order of a queue is computed anew. Ranks drift slowly, and
-# the sorting stays under a tenth of the time however long the queue is.
+# A queue is sorted again once its order is older than the first interval plus the second one per entry. Ranks
+# change slowly, and sorting takes less than a tenth of the time whatever the length of the queue.
 RESORT_INTERVAL_MS = 20.0
 RESORT_INTERVAL_PER_ENTRY_MS = 0.05
-# Entries beyond the wanted number that are looked at for an event that may be rejected.
+# Number of entries, beyond the requested number of candidates, that a search for rejectable events examines.
 MAX_EXTRA_REJECT_CANDIDATES = 8
 
 QueueEntry = tuple[float, float, int, Event]
 """(urgency, negated latency objective in ms, sequence number, event); the most urgent sorts last.
 
-A plain tuple: a named one doubles the time of a sort. The sequence number is unique, so that events are never
-compared.
+It is a plain tuple because a named tuple doubles the time of a sort. The sequence number is unique, so that
+events are never compared.
 """
 EVENT: Final = 3
 """Index of the event in a `QueueEntry`."""
@@ -28,23 +28,23 @@
 class QueueGroup:
     """Pending events of one destination and queue class, sorted by urgency.
 
-    An event that leaves out of order leaves its entry behind; such an entry is obsolete and is passed over.
-    The event may come back with another entry, and must not be asked by both.
+    When an event that is not the most urgent one leaves, its entry stays as an obsolete entry, which is
+    skipped. The event may be added again with a new entry, and must not be decided through both.
 
     Attributes:
         key: Destination and queue class.
         destination: Where the events go.
-        entries: Sorted entries, the next to be asked last; obsolete ones among them.
-        asleep_until: Moment (ms) until which the router defers the events; -inf at the start.
-        wakes_at: Moment (ms) of the group's timer; inf when none is set.
+        entries: Sorted entries, including obsolete ones; the most urgent is the last.
+        deferred_until: Time (ms) until which the router defers the events; -inf at the start.
+        timer_at: Time (ms) at which the group's timer is due; inf when none is set.
     """
 
     __slots__ = (
         "key",
         "destination",
         "entries",
-        "asleep_until",
-        "wakes_at",
+        "deferred_until",
+        "timer_at",
         "_current_entries",
         "_router",
         "_sorted_at",
@@ -57,8 +57,8 @@
         self.key = key
         self.destination = destination
         self.entries: list[QueueEntry] = []
-        self.asleep_until = -math.inf
-        self.wakes_at = math.inf
+        self.deferred_until = -math.inf
+        self.timer_at = math.inf
         self._current_entries: dict[Event, QueueEntry] = {}
         self._router = router
         self._sorted_at = now
@@ -68,38 +68,38 @@
         return len(self._current_entries)
 
     def is_current(self, entry: QueueEntry) -> bool:
-        """Whether the entry's event waits by it; if not, the entry is obsolete."""
+        """Returns whether the entry is the valid one of its event; if not, the entry is obsolete."""
         return self._current_entries.get(entry[EVENT]) is entry
 
     def add(self, event: Event, sequence_number: int) -> None:
-        """Insert an event by its urgency at the moment of the last sort."""
+        """Insert an event by its urgency at the time of the last sort."""
         insort(self.entries, self._make_entry(event, sequence_number))
 
     def discard(self, event: Event) -> None:
-        """Take an event out; its entry stays as an obsolete one."""
+        """Remove an event; its entry stays as an obsolete one."""
         del self._current_entries[event]
         if not self._current_entries:
             self.entries = []
 
     def next_event(self) -> Event | None:
-        """The most urgent event, None when the group is empty. Obsolete entries before it are dropped."""
+        """Returns the most urgent event, or None for an empty group; drops obsolete entries before it."""
         entries = self.entries
         while entries and not self.is_current(entries[-1]):
             entries.pop()
         return entries[-1][EVENT] if entries else None
 
     def events_behind_next(self, count: int) -> Iterator[Event]:
-        """Those of the `count` entries behind the most urgent one whose events still wait."""
+        """Yields the events of those `count` entries behind the most urgent one that are not obsolete."""
         for entry in self.entries[-2 : -2 - count : -1]:
             if self.is_current(entry):
                 yield entry[EVENT]
 
     def rank(self, event: Event, now: float) -> tuple[float, float]:
-        """Rank of an event at `now` over the group's horizon; lower ranks are asked first."""
+        """Returns the rank of an event at `now` over the group's horizon; lower ranks are decided first."""
         return self._router.urgency_rank(event, self._horizon_ms, now)
 
     def sort_if_due(self, now: float, next_sequence_number: Iterator[int]) -> None:
-        """Compute all ranks anew when the order has grown old."""
+        """Recompute all ranks and sort the entries, if the last sort is too old."""
         interval_ms = RESORT_INTERVAL_MS + RESORT_INTERVAL_PER_ENTRY_MS * len(self.entries)
         if now - self._sorted_at <= interval_ms:
             return
@@ -112,14 +112,14 @@
         )
 
     def least_urgent_rejectable(self, limit: int) -> list[QueueEntry]:
-        """Entries of the least urgent events that may be rejected, `limit` at most."""
-        found: list[QueueEntry] = []
+        """Returns the entries of the least urgent events that may be rejected, at most `limit`."""
+        candidates: list[QueueEntry] = []
         for position, entry in enumerate(self.entries):
-            if len(found) >= limit or position >= limit + MAX_EXTRA_REJECT_CANDIDATES:
+            if len(candidates) >= limit or position >= limit + MAX_EXTRA_REJECT_CANDIDATES:
                 break
             if self.is_current(entry) and self._router.is_safe_to_reject(entry[EVENT]):
-                found.append(entry)
-        return found
+                candidates.append(entry)
+        return candidates
 
     def _make_entry(self, event: Event, sequence_number: int) -> QueueEntry:
         urgency_rank, objective_at = self._router.urgency_rank(event, self._horizon_ms, self._sorted_at)
--- a/swiftthread/service/queue_timers.py
+++ b/swiftthread/service/queue_timers.py
@@ -1,4 +1,4 @@
-"""Timers of pending events and of queue groups. No I/O: the owner asks what is due."""
+"""Timers of pending events and of queue groups. No I/O: the owner polls for due timers."""
 
 import heapq
 import math
@@ -9,12 +9,13 @@
 from swiftthread.routing.events import Event
 from swiftthread.service.queue_group import QueueGroup
 
-# Timers of events that have left; above this number, and half of the heap, the heap is rebuilt without them.
+# The heap is rebuilt when more than this number of its timers, and more than half of them, belong to events
+# that have left.
 MAX_STALE_TIMERS = 64
 
 
 class EventTimer:
-    """A timer in the heap of an `EventTimers`; `event` is None once the event has left."""
+    """A timer in the heap of `EventTimers`; its `event` is None once the event has left."""
 
     __slots__ = ("event",)
 
@@ -23,19 +24,19 @@
 
 
 class DueEvent(NamedTuple):
-    """An event whose timer has run out."""
+    """An event whose timer is due."""
 
     event: Event
     is_deadline: bool
-    """Whether it is the event's deadline; if not, the rest of its ordering key is over."""
+    """Whether the event's deadline is due; if not, the pause of its ordering key is over."""
 
 
 class EventTimers:
-    """Deadlines of pending events, and the ends of rests that ordered events wait for.
+    """Timers for the deadlines of pending events, and for the ends of pauses that ordered events wait for.
 
     Attributes:
-        deadlines: Pending event -> the timer of its deadline; emptied as events leave.
-        heap: (moment in ms, sequence number, timer); emptied as moments pass.
+        deadlines: Pending event -> the timer of its deadline; an entry is removed when its event leaves.
+        heap: Tuples of (due time in ms, sequence number, timer); a tuple is removed once it is due.
     """
 
     def __init__(self) -> None:
@@ -45,15 +46,15 @@
         self._stale_count = 0
 
     def set_deadline(self, event: Event, at: float) -> None:
-        """Start the timer of an event's deadline; an earlier one of it is due without effect."""
+        """Start the timer of an event's deadline; an earlier timer of it no longer has an effect."""
         self.deadlines[event] = self._start(event, at)
 
-    def start_rest(self, event: Event, until: float) -> None:
-        """Start a timer for the moment at which the event's ordering key has rested."""
+    def start_pause(self, event: Event, until: float) -> None:
+        """Start a timer for the time at which the pause of the event's ordering key is over."""
         self._start(event, until)
 
     def cancel(self, event: Event) -> None:
-        """Forget an event; its body must not stay in memory for its whole max age."""
+        """Cancel the timers of an event, so that its body does not stay in memory for its whole max age."""
         timer = self.deadlines.pop(event, None)
         if timer is None:
             return
@@ -65,13 +66,13 @@
             self._stale_count = 0
 
     def next_at(self) -> float:
-        """Moment (ms) of the next timer whose event still waits; inf when there is none."""
+        """Returns when the next timer of a pending event is due (ms); inf when there is none."""
         while self.heap and self.heap[0][2].event not in self.deadlines:
             self._pop()
         return self.heap[0][0] if self.heap else math.inf
 
     def pop_due(self, now: float) -> Iterator[DueEvent]:
-        """Take out what is due, one by one: the caller may start and cancel timers meanwhile."""
+        """Remove and yield due events one by one; the caller may start and cancel timers meanwhile."""
         while self.heap and self.heap[0][0] <= now:
             timer = self._pop()
             event = timer.event
@@ -90,13 +91,13 @@
 
 
 class GroupTimers:
-    """Wake-ups of deferred groups.
+    """Timers for the times until which groups are deferred.
 
-    A group has one effective timer, at its moment or before it: an outcome can move the moment many times a
-    second.
+    Each group has one effective timer, due at that time or earlier. No new timer starts when the time moves
+    to a later one, because outcomes can move it many times a second.
 
     Attributes:
-        heap: (moment in ms, sequence number, group); emptied as moments pass.
+        heap: Tuples of (due time in ms, sequence number, group); a tuple is removed once it is due.
     """
 
     def __init__(self) -> None:
@@ -104,23 +105,26 @@
         self._next_sequence_number = count()
 
     def start(self, group: QueueGroup) -> None:
-        """Wake the group at `group.asleep_until`, unless an earlier timer of it runs."""
-        if group.asleep_until < group.wakes_at:
-            group.wakes_at = group.asleep_until
-            heapq.heappush(self.heap, (group.asleep_until, next(self._next_sequence_number), group))
+        """Start a timer for `group.deferred_until`, unless the group has a timer that is due earlier."""
+        if group.deferred_until < group.timer_at:
+            group.timer_at = group.deferred_until
+            heapq.heappush(self.heap, (group.deferred_until, next(self._next_sequence_number), group))
 
     def next_at(self) -> float:
-        """Moment (ms) of the next timer; inf when there is none."""
+        """Returns when the next timer is due (ms); inf when there is none."""
         return self.heap[0][0] if self.heap else math.inf
 
     def pop_due(self, now: float) -> Iterator[QueueGroup]:
-        """Take out the groups that are to be asked now; one whose moment was moved gets a new timer."""
+        """Remove and yield the groups that are deferred no longer.
+
+        A group that was deferred further since its timer started gets a new timer instead.
+        """
         while self.heap and self.heap[0][0] <= now:
-            moment, _, group = heapq.heappop(self.heap)
-            if group.wakes_at != moment or not len(group):
+            due_at, _, group = heapq.heappop(self.heap)
+            if group.timer_at != due_at or not len(group):
                 continue
-            group.wakes_at = math.inf
-            if group.asleep_until <= now:
+            group.timer_at = math.inf
+            if group.deferred_until <= now:
                 yield group
             else:
                 self.start(group)
--- a/swiftthread/service/reload.py
+++ b/swiftthread/service/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration while the node runs (SIGHUP)."""
+"""Reload of the configuration of a running node (SIGHUP)."""
 
 import dataclasses
 import os
@@ -11,20 +11,22 @@
 
 
 def reload_config(config: NodeConfig, discovery: DiscoveryClient, notifier: ResultNotifier) -> NodeConfig:
-    """Read the configuration again and move to the discovery that it names; nothing else changes.
+    """Read the configuration again and switch to the discovery address in it; nothing else changes.
 
     Returns:
-        The new configuration, or `config` where the new one cannot be used.
+        The new configuration, or `config` if the new one is invalid.
     """
     try:
-        fresh = read_node_config(os.environ, is_reload=True)
+        new_config = read_node_config(os.environ, is_reload=True)
     except ConfigurationError as error:
-        logger.error("the new configuration is not used: {}", error)
+        logger.error("reloading the configuration failed: {}; the previous configuration stays in use", error)
         return config
-    for key, value in fresh.start_only_parts.items():
+    for key, value in new_config.start_only_parts.items():
         if value != config.start_only_parts[key]:
-            logger.warning("the new configuration's {} counts from the next start on", key)
-    logger.info("the configuration is read again; discovery is at {}:{}", *fresh.discovery)
-    discovery.change_address(fresh.discovery)
-    notifier.change_address(fresh.discovery)
-    return dataclasses.replace(fresh, start_only_parts=config.start_only_parts)
+            logger.warning(
+                "the configuration has a new value of {}, which takes effect at the next start", key
+            )
+    logger.info("the configuration was reloaded; discovery is at {}:{}", *new_config.discovery)
+    discovery.change_address(new_config.discovery)
+    notifier.change_address(new_config.discovery)
+    return dataclasses.replace(new_config, start_only_parts=config.start_only_parts)
--- a/swiftthread/service/startup.py
+++ b/swiftthread/service/startup.py
@@ -1,4 +1,4 @@
-"""A node from its start to its end: the log, the listener, and the signals in between."""
+"""Runs a node from start to exit: opens the log and the listener, and handles signals."""
 
 import contextlib
 import signal
@@ -20,11 +20,11 @@
 
 
 async def serve(config: NodeConfig) -> None:
-    """Run one node until SIGTERM or SIGINT, and end in the time that is left then; SIGHUP reloads.
+    """Run one node; SIGTERM and SIGINT shut it down in the time before SIGKILL, SIGHUP reloads.
 
-    `SIGNALS` are blocked by the caller until they are received here, and blocked again once they are not: one
-    that comes while the log is read, or a second one beside the exit, ends no process in the middle of
-    something.
+    The caller has blocked `SIGNALS`. They are unblocked once this function receives them, and blocked again
+    when it no longer does. Therefore a signal that arrives while the log is read, or a second one during the
+    exit, does not kill the process in the middle of an operation.
     """
     with anyio.open_signal_receiver(*SIGNALS) as signals:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
@@ -67,13 +67,15 @@
 
 
 def _report_damage(log: WriteAheadLog) -> None:
-    """Log what of the log file could not be read."""
+    """Report the parts of the write-ahead log that could not be read."""
     if log.torn_bytes:
-        logger.warning("{} bytes at the end of the log were torn and are cut off", log.torn_bytes)
+        logger.warning(
+            "the last record of the write-ahead log is incomplete; its {} bytes were removed", log.torn_bytes
+        )
     for begin, end in log.unreadable_ranges:
         logger.error(
-            "{}: bytes {} to {} are none of this program's records; what was taken before them is held to"
-            " have been sent",
+            "{}: bytes {} to {} are not records of this program; every event accepted before them is"
+            " treated as possibly sent",
             log.path,
             begin,
             end,
--- a/swiftthread/service/submissions.py
+++ b/swiftthread/service/submissions.py
@@ -1,4 +1,4 @@
-"""Answers to submitted events: whether the node admits one. Admitted means: it is in the write-ahead log."""
+"""Admission of submitted events. An accepted event is in the write-ahead log."""
 
 import math
 
@@ -12,25 +12,25 @@
 from swiftthread.storage.pending_event import PendingEvent
 from swiftthread.storage.write_ahead_log import WriteAheadLog
 
-# Pending events at most, where the settings name no bound.
+# Limit of pending events if the settings contain none.
 DEFAULT_MAX_PENDING_EVENTS = 10000
-# x the max age of the stream type: an event with more time left is unusable. With less it is admitted, and
-# its time is cut to the max age.
-MAX_REMAINING_AGES = 2
+# An event is invalid if its remaining time exceeds this multiple of the max age of its stream type. Otherwise
+# the event is accepted, and its remaining time is limited to the max age.
+MAX_REMAINING_TIME_IN_MAX_AGES = 2
 
-ADMITTED = 202
-UNUSABLE = 400
-CONFLICT = 409
-UNAVAILABLE = 503
+STATUS_ACCEPTED = 202
+STATUS_BAD_REQUEST = 400
+STATUS_CONFLICT = 409
+STATUS_SERVICE_UNAVAILABLE = 503
 
 
 class SubmissionHandler:
-    """Decides for each submitted event whether the node admits it, and starts its delivery.
+    """Decides for each submitted event whether the node accepts it, and starts its delivery.
 
     Attributes:
-        sends_until: Moment (ms, monotonic) after which no attempt starts; inf until a shutdown begins. An
-            event whose turn comes later is rejected.
-        is_closed: Set by the shutdown: nothing is admitted any more.
+        sends_until: Time (ms, monotonic) after which no attempt starts; inf until a shutdown begins. An
+            event is rejected if its queue would drain only after that time.
+        is_closed: Set by the shutdown: no event is accepted any longer.
     """
 
     def __init__(
@@ -61,7 +61,10 @@
         self._log_clock = log_clock
 
     def admit(self, pending: PendingEvent) -> AdmissionResult:
-        """Answer one submission; the delivery of an admitted event starts once its client was answered."""
+        """Accept or reject one submission.
+
+        The delivery of an accepted event starts once the response was sent or the client disconnected.
+        """
         result, outcome = self._admit(pending)
         self._activity.submissions[outcome] += 1
         return result
@@ -69,37 +72,37 @@
     def _admit(self, pending: PendingEvent) -> tuple[AdmissionResult, AdmissionOutcome]:
         is_same = self._log.matches_known_event(pending)
         if is_same is not None:
-            # Submitted again by its client; or another event with the same id, which no answer of ours could
-            # tell apart.
+            # Either the client resubmitted the event, or another event has the same id. Responses and
+            # notifications could not distinguish two events of one id, so the other event is rejected.
             if is_same:
-                return AdmissionResult(ADMITTED), AdmissionOutcome.KNOWN
-            return AdmissionResult(CONFLICT), AdmissionOutcome.CONFLICT
+                return AdmissionResult(STATUS_ACCEPTED), AdmissionOutcome.DUPLICATE
+            return AdmissionResult(STATUS_CONFLICT), AdmissionOutcome.CONFLICT
         now = self._log_clock()
         max_age_ms = self._max_age_ms[pending.stream_type]
-        if not now < pending.expires_at <= now + MAX_REMAINING_AGES * max_age_ms:
-            return AdmissionResult(UNUSABLE), AdmissionOutcome.UNUSABLE
+        if not now < pending.expires_at <= now + MAX_REMAINING_TIME_IN_MAX_AGES * max_age_ms:
+            return AdmissionResult(STATUS_BAD_REQUEST), AdmissionOutcome.INVALID_EXPIRY
         pending.expires_at = min(pending.expires_at, now + max_age_ms)
         destination = self._router.find_destination(pending.destination)
         at = self._clock()
-        refusal = self._reason_to_refuse(pending, destination, at)
-        if refusal is None and not self._log.append_accepted(pending):
-            refusal = AdmissionOutcome.NOT_LOGGED
-        if refusal is not None:
+        rejection = self._reason_to_reject(pending, destination, at)
+        if rejection is None and not self._log.append_accepted(pending):
+            rejection = AdmissionOutcome.NOT_LOGGED
+        if rejection is not None:
             retry_after_ms = self._router.retry_after_ms(destination, at)
-            return AdmissionResult(UNAVAILABLE, retry_after_ms=retry_after_ms), refusal
+            return AdmissionResult(STATUS_SERVICE_UNAVAILABLE, retry_after_ms=retry_after_ms), rejection
         event = self._delivery.add(pending)
-        result = AdmissionResult(ADMITTED, lambda: self._delivery.start(pending, event))
-        return result, AdmissionOutcome.ADMITTED
+        result = AdmissionResult(STATUS_ACCEPTED, lambda: self._delivery.start(pending, event))
+        return result, AdmissionOutcome.ACCEPTED
 
-    def _reason_to_refuse(
+    def _reason_to_reject(
         self, pending: PendingEvent, destination: Destination | None, now: float
     ) -> AdmissionOutcome | None:
-        """Why the event cannot be held, or not be sent before a shutdown ends the sends; None if it can."""
+        """Returns why the event cannot be stored or be sent before a shutdown; None if it can be."""
         if len(self._log.pending) >= self._max_pending_events:
             return AdmissionOutcome.TOO_MANY_EVENTS
         if self._delivery.pending_bytes + len(pending.body) > self._max_pending_bytes:
             return AdmissionOutcome.TOO_MANY_BYTES
-        if destination is None:  # the list comes seconds late
+        if destination is None:  # the endpoint list may arrive seconds later
             return AdmissionOutcome.UNKNOWN_DESTINATION
         drained_at = now + self._router.queue_drain_time_ms(destination, now)
         if self.is_closed or drained_at > self.sends_until:
@@ -108,5 +111,5 @@
 
 
 def _max_pending_events(settings: Settings) -> float:
-    bound = settings.max_pending_events
-    return bound if bound and bound < math.inf else DEFAULT_MAX_PENDING_EVENTS
+    limit = settings.max_pending_events
+    return limit if limit and limit < math.inf else DEFAULT_MAX_PENDING_EVENTS
--- a/tests/node/test_node_reload.py
+++ b/tests/node/test_node_reload.py
@@ -32,7 +32,7 @@
         node.reload(discovery=first.address)
         assert node.process.wait(timeout=5) == 0
         said = node.process.stderr.read().decode()
-        assert "is no JSON" in said and "limits counts from the next start on" in said
+        assert "is no JSON" in said and "a new value of limits, which takes effect at the next start" in said
 
 
 def test_a_notification_in_flight_is_repeated_where_discovery_moved_to(tmp_path):
--- a/tests/service/test_activity.py
+++ b/tests/service/test_activity.py
@@ -12,9 +12,11 @@
         wait_until(lambda: endpoint.calls and node.has_logged_end("evt-2"))
         lines = node.stop_and_read_log().splitlines()
     assert [
-        line for line in lines if "endpoint s-1 of destination 1 is held to be down: 2 calls failed" in line
+        line
+        for line in lines
+        if "endpoint s-1 of destination 1 was marked down: 2 consecutive calls failed" in line
     ]
-    assert [line for line in lines if "endpoint s-1 of destination 1 is back" in line]
+    assert [line for line in lines if "endpoint s-1 of destination 1 is up again" in line]
     counts = next(line for line in lines if "submissions: " in line)
-    assert "1 refused: no list names its destination" in counts
+    assert "1 rejected: the destination is in no endpoint list" in counts
     assert "2 rate limited" in counts and "1 acked" in counts
--- a/tests/service/test_admission.py
+++ b/tests/service/test_admission.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    "late_ms, decided_count, expected",
+    "delay_ms, decided_count, expected",
     [
         (0.0, 0, 1000),
         (4.9, 0, 1000),
@@ -23,25 +23,25 @@
         (80.0, 2000, 1000),
     ],
 )
-def test_requests_read_in_a_tick(late_ms, decided_count, expected):
+def test_requests_read_in_a_tick(delay_ms, decided_count, expected):
     controller = AdmissionController(5.0)
     for _ in range(60):
-        controller.record_cycle(late_ms, decided_count)
+        controller.record_cycle(delay_ms, decided_count)
     assert count_admitted(controller, 1000) == expected
 
 
 def test_one_late_tick_sheds_no_load_and_one_light_one_lets_no_crowd_in():
     controller = AdmissionController(5.0)
     controller.record_cycle(40.0, 20)
-    assert controller.remaining == math.inf
+    assert controller.remaining_requests == math.inf
     for _ in range(20):
         controller.record_cycle(40.0, 20)
     assert count_admitted(controller, 1000) == 18 and not controller.try_admit()
     controller.record_cycle(0.0, 20)
-    assert controller.remaining < math.inf
+    assert controller.remaining_requests < math.inf
     for _ in range(20):
         controller.record_cycle(0.0, 20)
-    assert controller.remaining == math.inf
+    assert controller.remaining_requests == math.inf
 
 
 def test_in_and_out_balance_whatever_is_offered():
--- a/tests/service/test_internal_errors.py
+++ b/tests/service/test_internal_errors.py
@@ -43,7 +43,7 @@
         for _ in range(4):
             assert node.submit() == 202
         wait_until(lambda: len(endpoint.calls) == 4 and not node.pending_event_ids())
-        assert "a tick failed" in still_serves(node, endpoint)
+        assert "a scheduling cycle failed" in still_serves(node, endpoint)
 
 
 def test_a_fault_where_an_event_is_decided_ends_that_event_alone(tmp_path):
@@ -70,7 +70,7 @@
             one.sendall(node.submission_request()), two.sendall(node.submission_request(destination=2))
             wait_until(lambda: first.calls and second.calls and not node.pending_event_ids())
         assert len(first.calls) == len(second.calls) == 1
-        assert "a tick failed" in still_serves(node, first)
+        assert "a scheduling cycle failed" in still_serves(node, first)
 
 
 def test_a_fault_in_a_notice_tells_it_again(tmp_path):
--- a/tests/service/test_log_filter.py
+++ b/tests/service/test_log_filter.py
@@ -26,7 +26,7 @@
     assert [is_passed(make_record(1)) for _ in range(3)] == [False] * 3
     clock.seconds += REPEAT_INTERVAL_S
     record = make_record(1)
-    assert is_passed(record) and record["message"] == "lost (and 3 times before)"
+    assert is_passed(record) and record["message"] == "lost (3 earlier lines suppressed)"
     clock.seconds += REPEAT_INTERVAL_S
     record = make_record(1)
     assert is_passed(record) and record["message"] == "lost"
--- a/tests/service/test_unknown_tenants.py
+++ b/tests/service/test_unknown_tenants.py
@@ -36,5 +36,5 @@
         log = node.log_path().read_bytes()
         assert [log.count(name) for name in (b'"north"', b'"east"', b"null")] == [1, 1, 1]
         output = node.stop_and_read_log()
-        assert "evt-2: tenant 'east' is none of the settings'" in output
+        assert "evt-2: tenant 'east' is not in the settings" in output
         assert "evt-1: tenant" not in output
--- a/tests/storage/test_log_recovery.py
+++ b/tests/storage/test_log_recovery.py
@@ -123,4 +123,4 @@
         wait_until(lambda: len(endpoint.calls) == 2 and node.final_outcomes())
         assert node.final_outcomes() == {"evt-1": "given_up"}
         assert set(endpoint.event_ids()) == {"evt-2", "evt-3"}
-        assert "none of this program's records" in node.stop_and_read_log()
+        assert "are not records of this program" in node.stop_and_read_log()
--- a/tests/storage/test_removed_stream_type.py
+++ b/tests/storage/test_removed_stream_type.py
@@ -26,7 +26,7 @@
         wait_until(lambda: endpoint.calls)
         restart_with(node, [NOTICE])
         wait_until(lambda: node.final_outcomes() == {"evt-1": "given_up"})
-        assert "a stream type that is no more: once" in node.stop_and_read_log()
+        assert "a stream type that is not in the settings: once" in node.stop_and_read_log()
 
 
 def test_what_was_never_sent_is_rejected_when_its_stream_type_is_removed(tmp_path):
