--- a/swiftthread/service/activity.py
+++ b/swiftthread/service/activity.py
@@ -50,7 +50,7 @@
         self.down_count += 1
         unacked = f"no call acked for {change.unacked_ms / 1000.0:.1f} s"
         logger.bind(**STATE_CHANGE).info(
-            "endpoint {} of destination {} was marked down: {} consecutive calls failed "
+            "endpoint {} of destination {} was marked down after {} consecutive failures "
             "(last outcome: {}), {}; next trial in {:.1f} s",
             change.endpoint_id,
             change.destination_number,
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -124,7 +124,7 @@
             self._ready[group] = True
         if self.router.is_over_capacity():
             self._shed_load(now)
-        self._ask_ready_groups(now)
+        self._decide_ready_groups(now)
         decided = self._decided
         self._decided = []
         return decided
@@ -170,7 +170,7 @@
             if not is_deadline:
                 if self.group_of[event] is None:
                     self._enqueue(event, now)
-            elif isinstance(self._ask(event, now), Defer):  # the router has extended its deadline
+            elif isinstance(self._decide(event, now), Defer):  # the router has extended its deadline
                 extended_to = self.router.give_up_at(event, now)
                 self.event_timers.set_deadline(event, max(now + MIN_DEADLINE_EXTENSION_MS, extended_to))
 
@@ -181,7 +181,7 @@
                 self._enqueue(event, now)
         self._unblocked_ordering_keys.clear()
 
-    def _ask(self, event: Event, now: float) -> Send | Reject | Abandon | Defer | Exception:
+    def _decide(self, event: Event, now: float) -> Send | Reject | Abandon | Defer | Exception:
         """Ask the router to decide one event; unless it is deferred, the event leaves the queues."""
         decision: Send | Reject | Abandon | Defer | Exception
         try:
@@ -204,11 +204,11 @@
             for _, _, _, event in sorted(candidates, key=lambda entry: entry[:3]):
                 if not self.router.is_over_capacity():
                     return
-                self._ask(event, now)
+                self._decide(event, now)
             if not self.router.is_over_capacity():
                 return
 
-    def _ask_ready_groups(self, now: float) -> None:
+    def _decide_ready_groups(self, now: float) -> None:
         """Decide the most urgent event of all ready groups repeatedly, until each is deferred or empty."""
         ready = self._ready
         self._ready = {}
@@ -224,7 +224,7 @@
                 group.deferred_until = math.inf
                 continue
             event = group.entries[-1][EVENT]
-            decision = self._ask(event, now)
+            decision = self._decide(event, now)
             if isinstance(decision, Defer):
                 self._defer(group, event, now)
                 continue
@@ -261,4 +261,4 @@
         destination = group.destination
         if self.router.has_separate_routes(destination) or self.router.has_joinable_call(destination, now):
             for event_behind in group.events_behind_next(MAX_EVENTS_BEHIND_DEFERRED):
-                self._ask(event_behind, now)
+                self._decide(event_behind, now)
--- a/swiftthread/service/shutdown.py
+++ b/swiftthread/service/shutdown.py
@@ -9,7 +9,7 @@
 from swiftthread.clocks import monotonic_ms
 from swiftthread.service.node import Node
 
-# Time after SIGTERM in which events are accepted. Clients open connections for 0.4 s, and are answered.
+# Time after SIGTERM in which events are accepted: new connections arrive for 0.4 s and get a response.
 ADMISSION_DURATION_MS = 600.0
 # Time after SIGTERM in which attempts start. Attempts still in flight then may complete until the end of the
 # shutdown.
--- a/tests/service/node_with_fault.py
+++ b/tests/service/node_with_fault.py
@@ -1,8 +1,8 @@
-"""The program with a planted fault.
+"""The program with an injected fault.
 
-What FAULT names raises in each of the calls whose numbers stand behind it, as in
-"swiftthread.routing.router:Router.decide 2 3". No faults of ours are known there; what is
-tested is what one would cost.
+The environment variable FAULT names a function and the numbers of its calls that raise an
+exception, for example "swiftthread.routing.router:Router.decide 2 3". No real faults are
+known in these functions; the tests check what one would cost.
 """
 
 import os
@@ -13,18 +13,18 @@
 
 from swiftthread.__main__ import main
 
-place, *numbers = os.environ["FAULT"].split()
-module, path = place.split(":")
+target, *failing_numbers = os.environ["FAULT"].split()
+module, path = target.split(":")
 *owners, name = path.split(".")
 owner = reduce(getattr, owners, import_module(module))
-right, calls, wrong = getattr(owner, name), count(1), set(map(int, numbers))
+original, call_numbers, failing_calls = getattr(owner, name), count(1), set(map(int, failing_numbers))
 
 
-def planted(*args, **more):
-    if next(calls) in wrong:
-        raise RuntimeError("a planted fault")
-    return right(*args, **more)
+def fail_or_call(*args, **kwargs):
+    if next(call_numbers) in failing_calls:
+        raise RuntimeError("an injected fault")
+    return original(*args, **kwargs)
 
 
-setattr(owner, name, planted)
+setattr(owner, name, fail_or_call)
 sys.exit(main())
--- a/tests/service/test_activity.py
+++ b/tests/service/test_activity.py
@@ -1,10 +1,10 @@
-"""The log tells when an endpoint is held to be down and when it is back, and what the node did in between."""
+"""The log shows when an endpoint goes down and recovers, and the counts of the node's activity."""
 
 from support.fake_servers import FakeEndpoint
 from support.node_process import NodeProcess, wait_until
 
 
-def test_an_outage_and_its_end_stand_in_the_log_with_the_counts(tmp_path):
+def test_outage_recovery_and_counts_are_logged(tmp_path):
     endpoint = FakeEndpoint(503, 503, 200)
     with NodeProcess(tmp_path, endpoint, Obligations={"WarmUp": 0.2}) as node:
         assert node.submit(left="20m", destination=7) == 503
@@ -14,7 +14,7 @@
     assert [
         line
         for line in lines
-        if "endpoint s-1 of destination 1 was marked down: 2 consecutive calls failed" in line
+        if "endpoint s-1 of destination 1 was marked down after 2 consecutive failures" in line
     ]
     assert [line for line in lines if "endpoint s-1 of destination 1 is up again" in line]
     counts = next(line for line in lines if "submissions: " in line)
--- a/tests/service/test_admission.py
+++ b/tests/service/test_admission.py
@@ -1,4 +1,4 @@
-"""Load shedding: while scheduling cycles come late, no more is admitted than leaves; else all there is."""
+"""Load shedding limits the requests read only while scheduling cycles are delayed."""
 
 import math
 
@@ -7,8 +7,8 @@
 from swiftthread.service.admission import MIN_REQUESTS_PER_CYCLE, AdmissionController
 
 
-def count_admitted(controller, wanted):
-    return sum(controller.try_admit() for _ in range(wanted))
+def count_admitted(controller, offered_count):
+    return sum(controller.try_admit() for _ in range(offered_count))
 
 
 @pytest.mark.parametrize(
@@ -23,14 +23,14 @@
         (80.0, 2000, 1000),
     ],
 )
-def test_requests_read_in_a_tick(delay_ms, decided_count, expected):
+def test_requests_read_per_cycle_for_a_delay(delay_ms, decided_count, expected):
     controller = AdmissionController(5.0)
     for _ in range(60):
         controller.record_cycle(delay_ms, decided_count)
     assert count_admitted(controller, 1000) == expected
 
 
-def test_one_late_tick_sheds_no_load_and_one_light_one_lets_no_crowd_in():
+def test_single_cycle_neither_starts_nor_ends_load_shedding():
     controller = AdmissionController(5.0)
     controller.record_cycle(40.0, 20)
     assert controller.remaining_requests == math.inf
@@ -44,20 +44,20 @@
     assert controller.remaining_requests == math.inf
 
 
-def test_in_and_out_balance_whatever_is_offered():
-    """A core that does 100 things a scheduling cycle, submissions first; a submission costs 1, a send 2.
+def test_admitted_events_balance_decided_ones_at_tenfold_load():
+    """The CPU core has 100 units of work per scheduling cycle, spent on submissions first.
 
-    Ten times as much is offered.
+    A submission costs 1 unit, a send 2. The load offered is ten times what the core can do.
     """
-    controller, held, acked = AdmissionController(5.0), 0, 0
+    controller, pending_count, acked_count = AdmissionController(5.0), 0, 0
     for _ in range(60):
         controller.record_cycle(50.0, 64)
     for _ in range(500):
-        came = count_admitted(controller, 1000)
-        moved = min(held + came, 64)
-        held += came - moved
-        acked += moved
+        admitted_count = count_admitted(controller, 1000)
+        decided_count = min(pending_count + admitted_count, 64)
+        pending_count += admitted_count - decided_count
+        acked_count += decided_count
         controller.record_cycle(
-            max(0.0, came + 2 * moved - 100) * 0.05 + 5.1, moved
-        )  # with so much offered it is never idle
-    assert held <= 64 and acked > 500 * MIN_REQUESTS_PER_CYCLE
+            max(0.0, admitted_count + 2 * decided_count - 100) * 0.05 + 5.1, decided_count
+        )  # at this load it is never idle
+    assert pending_count <= 64 and acked_count > 500 * MIN_REQUESTS_PER_CYCLE
--- a/tests/service/test_unknown_tenants.py
+++ b/tests/service/test_unknown_tenants.py
@@ -1,4 +1,4 @@
-"""A client that is none of the settings' tenants has no tenant's quota and no tenant's share."""
+"""An event whose tenant is not in the settings has neither the quota nor the share of a tenant."""
 
 from support.fake_servers import FakeEndpoint
 from support.node_process import NodeProcess, wait_until
@@ -6,7 +6,7 @@
 from support.stream_types import IDEMPOTENT
 
 OVER_QUOTA_WEIGHT = 0.1
-REALMS = [
+TENANTS = [
     {"Name": "north", "QuotaPerS": 0.001, "Share": 0.5},
     {"Name": "south", "QuotaPerS": 50.0, "Share": 0.5},
 ]
@@ -17,7 +17,7 @@
     return node.session.router.add_event(0.0, 0, 0, 9000.0, tenant).priority_weight
 
 
-def test_an_unknown_tenant_counts_as_over_quota_only_where_there_are_quotas():
+def test_unknown_tenant_is_over_quota_only_if_the_settings_have_quotas():
     full_weight = IDEMPOTENT.priority_weight
     assert priority_weight([50.0, 50.0], 1) == full_weight
     assert priority_weight([], None) == full_weight
@@ -27,9 +27,9 @@
     assert priority_weight([50.0, 50.0], 2) == OVER_QUOTA_WEIGHT * full_weight
 
 
-def test_an_unknown_tenant_is_accepted_logged_and_reported(tmp_path):
+def test_event_of_an_unknown_tenant_is_accepted_logged_and_reported(tmp_path):
     endpoint = FakeEndpoint()
-    with NodeProcess(tmp_path, endpoint, Realms=REALMS) as node:
+    with NodeProcess(tmp_path, endpoint, Realms=TENANTS) as node:
         for number, tenant in enumerate(("north", "east", None)):
             assert node.submit(**{"X-Org": tenant}) == 202
             wait_until(lambda: len(endpoint.calls) == number + 1)
