--- a/swiftthread/service/queue_timers.py
+++ b/swiftthread/service/queue_timers.py
@@ -54,7 +54,7 @@
         self._start(event, until)
 
     def cancel(self, event: Event) -> None:
-        """Cancel the timers of an event, so that its body does not stay in memory for its whole max age."""
+        """Forget an event that leaves, so that its body does not stay in memory for its whole max age."""
         timer = self.deadlines.pop(event, None)
         if timer is None:
             return
--- a/tests/service/test_admission.py
+++ b/tests/service/test_admission.py
@@ -1,4 +1,4 @@
-"""Load shedding limits the requests read only while scheduling cycles are delayed."""
+"""While scheduling cycles are delayed, no more requests are read than events decided; otherwise all are."""
 
 import math
 
