--- a/tests/storage/test_log_recovery.py
+++ b/tests/storage/test_log_recovery.py
@@ -133,4 +133,4 @@
         wait_until(lambda: len(endpoint.calls) == 2 and node.final_outcomes())
         assert node.final_outcomes() == {"evt-1": "given_up"}
         assert set(endpoint.event_ids()) == {"evt-2", "evt-3"}
-        assert "none of this program's records" in node.stop_and_read_log()
+        assert "are not records of this program" in node.stop_and_read_log()
