--- a/swiftthread/client/discovery_client.py
+++ b/swiftthread/client/discovery_client.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from swiftthread.client.endpoint_list import EndpointList, EndpointListUpdate, MalformedEndpointList
-from swiftthread.client.http_exchange import UNREADABLE, HttpRequest, client_parser, encode_request
+from swiftthread.client.http_exchange import PARSE_ERRORS, HttpRequest, client_parser, encode_request
 from swiftthread.client.json_stream import BodyLineReader, JsonAssembler
 from swiftthread.network.address import Address
 from swiftthread.network.buffer_pool import BufferPool
@@ -63,7 +63,7 @@
             self.endpoint_list.version = 0
             self.watch_scope.cancel()
 
-    def parse_list(self, page: Any) -> EndpointListUpdate:
+    def apply_list(self, page: Any) -> EndpointListUpdate:
         """Read a page in discovery's form; see `EndpointList.apply_page`."""
         return self.endpoint_list.apply_page(page)
 
@@ -87,7 +87,7 @@
             await self._follow(connection, on_update)
         except (ConnectionClosed, TimeoutError):
             logger.info("discovery {}:{}: the watch ended", host, port)
-        except UNREADABLE as error:
+        except PARSE_ERRORS as error:
             self.endpoint_list.version = 0  # what was missed is unknown: the complete list is asked for
             logger.warning(
                 "discovery {}:{}: the watch cannot be read ({}); the complete list is asked for",
@@ -123,7 +123,7 @@
                 return
             if page is None:
                 continue  # an empty line, which keeps the watch alive
-            entries, is_complete = self.parse_list(page)
+            entries, is_complete = self.apply_list(page)
             await on_update(entries, is_complete)
             if 0 < self.endpoint_list.unreadable_in_a_row <= MAX_UNREADABLE_IN_A_ROW:
                 # The complete list, asked for anew, may name the endpoint in a form that can be read.
--- a/swiftthread/client/endpoint_list.py
+++ b/swiftthread/client/endpoint_list.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from swiftthread.client.http_exchange import UNREADABLE
+from swiftthread.client.http_exchange import PARSE_ERRORS
 from swiftthread.network.address import Address, parse_address
 from swiftthread.routing.messages import EndpointEntry
 
@@ -81,7 +81,7 @@
         for row in rows:
             try:
                 entries.append(self._apply_row(row))
-            except UNREADABLE as error:
+            except PARSE_ERRORS as error:
                 has_unreadable = True
                 logger.warning("discovery: an entry cannot be read ({}): {:.200}", error, repr(row))
                 endpoint_id = row.get("id") if isinstance(row, dict) else None
@@ -147,7 +147,7 @@
 def _parse_rows(page: Any) -> list[Any]:
     try:
         rows = page["servers"]
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         raise MalformedEndpointList(f"servers: {error!r}") from error
     if not isinstance(rows, list):
         raise MalformedEndpointList(f"servers: no list but {type(rows).__name__}")
@@ -157,7 +157,7 @@
 def _parse_version(page: dict[str, Any], default: int) -> int:
     try:
         return int(page.get("version") or default)
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         raise MalformedEndpointList(f"version: {error!r}") from error
 
 
@@ -165,7 +165,7 @@
     """The parsed value under a key of an entry; MalformedEndpointEntry when it cannot be read."""
     try:
         return parse(row[key])
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         endpoint_id = row.get("id") if isinstance(row, dict) else None
         raise MalformedEndpointEntry(endpoint_id, key, error) from error
 
--- a/swiftthread/client/endpoint_response.py
+++ b/swiftthread/client/endpoint_response.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from swiftthread.client.http_exchange import UNREADABLE, HttpResponse
+from swiftthread.client.http_exchange import PARSE_ERRORS, HttpResponse
 from swiftthread.client.send_result import SendResult
 from swiftthread.routing.messages import LoadReport, SendOutcome
 
@@ -135,7 +135,7 @@
     try:
         values = json.loads(headers[LOAD_REPORT_HEADER])
         numbers = {name: float(values[name]) for name in fields if name in values}
-    except UNREADABLE:
+    except PARSE_ERRORS:
         return None
     return LoadReport.from_fields(numbers) if all(map(math.isfinite, numbers.values())) else None
 
@@ -148,5 +148,5 @@
             for row in json.loads(bytes(body))
             if (state := _STATE_BY_WORD.get(row["state"])) is not None
         }
-    except UNREADABLE:
+    except PARSE_ERRORS:
         return {}
--- a/swiftthread/client/http_exchange.py
+++ b/swiftthread/client/http_exchange.py
@@ -21,7 +21,7 @@
 RESPONSE_COMPLETION_MS = 200.0  # from a response's first byte to its last: endpoints write it in one go
 
 # What reading somebody else's JSON can raise.
-UNREADABLE = (KeyError, ValueError, TypeError, AttributeError, OverflowError, RecursionError)
+PARSE_ERRORS = (KeyError, ValueError, TypeError, AttributeError, OverflowError, RecursionError)
 
 _FIRST_LINE = re.compile(rb"HTTP/1\.[01] ([2-9]\d\d)(?: [^\r\n]*)?\r?\n")
 
--- a/swiftthread/service/composition.py
+++ b/swiftthread/service/composition.py
@@ -8,7 +8,7 @@
 
 from swiftthread.client.discovery_client import DiscoveryClient
 from swiftthread.client.endpoint_client import EndpointClient
-from swiftthread.client.http_exchange import UNREADABLE
+from swiftthread.client.http_exchange import PARSE_ERRORS
 from swiftthread.client.result_notifier import ResultNotifier
 from swiftthread.clocks import Clock, monotonic_ms
 from swiftthread.configuration.node_config import NodeConfig
@@ -177,7 +177,7 @@
         if not initial_list:
             return
         try:
-            entries, is_complete = discovery.parse_list(initial_list)
+            entries, is_complete = discovery.apply_list(initial_list)
             self._router.apply_endpoint_list(entries, is_complete, monotonic_ms())
-        except UNREADABLE as error:
+        except PARSE_ERRORS as error:
             logger.warning("the configuration's known list cannot be read ({}); the watch will tell", error)
--- a/tests/client/test_unknown_endpoint_kinds.py
+++ b/tests/client/test_unknown_endpoint_kinds.py
@@ -28,7 +28,7 @@
     discovery = DiscoveryClient(("127.0.0.1", 1), None, KIND_NUMBERS, {"east": 0}, 0.0, 0.0)
     node = SimulatedNode([], batch_size_by_kind=[5, 3], separate_routes_by_kind=[True, False])
     page = {"version": 1, "full": True, "servers": [ENTRY | {"kind": kind}]}
-    node.apply_endpoint_list(*discovery.parse_list(page))
+    node.apply_endpoint_list(*discovery.apply_list(page))
     endpoint = node.session.router.endpoints["s-1"]
     assert endpoint.batch_size == batch_size
     assert endpoint.has_separate_route == has_separate_route
--- a/tests/configuration/test_unclear_settings.py
+++ b/tests/configuration/test_unclear_settings.py
@@ -18,7 +18,7 @@
             | ({"zone": name} if name != "-" else {})
             for number, name in enumerate(names)
         ]
-        return [row[2] for row in discovery.parse_list({"version": 1, "full": True, "servers": rows})[0]]
+        return [row[2] for row in discovery.apply_list({"version": 1, "full": True, "servers": rows})[0]]
 
     names = "east", "west", "north", "north", "south", "-", None, ["east"], 7
     seen = anyio.run(zones, *names)
--- a/tests/routing/test_long_day.py
+++ b/tests/routing/test_long_day.py
@@ -38,7 +38,7 @@
         run.schedule(
             200.0 * number,
             run.apply_endpoint_list,
-            *discovery.parse_list({"version": number, "full": False, "servers": [row, gone]}),
+            *discovery.apply_list({"version": number, "full": False, "servers": [row, gone]}),
         )
         run.schedule(200.0 * number, lambda ticket=number: run.submit(ticket, ordering_key=ticket + 1))
         run.run_until(200.0 * number + 199.0)
--- a/tests/service/test_internal_errors.py
+++ b/tests/service/test_internal_errors.py
@@ -86,7 +86,7 @@
 def test_a_fault_in_the_list_asks_for_the_whole_list(tmp_path):
     endpoint, later = FakeEndpoint(), FakeEndpoint(ident="s-2", cell=2)
     with started(
-        tmp_path, "swiftthread.client.discovery_client:DiscoveryClient.parse_list 3", endpoint
+        tmp_path, "swiftthread.client.discovery_client:DiscoveryClient.apply_list 3", endpoint
     ) as node:  # 1: known, 2: the first list
         wait_until(lambda: node.discovery.watches)
         node.discovery.send_change(later.entry())
