--- a/swiftthread/simulator/codec.py
+++ b/swiftthread/simulator/codec.py
@@ -60,7 +60,7 @@
 pack_reject = partial(struct.Struct("<BHId9x").pack, CommandCode.REJECT)
 pack_abandon = partial(struct.Struct("<BHI17x").pack, CommandCode.ABANDON)
 pack_schedule_wakeup = partial(struct.Struct("<BHdI9x").pack, CommandCode.SCHEDULE_WAKEUP)
-pack_probe = partial(struct.Struct("<BHI17x").pack, CommandCode.PROBE)
+pack_check_health = partial(struct.Struct("<BHI17x").pack, CommandCode.CHECK_HEALTH)
 pack_close_idle = partial(struct.Struct("<BHI17x").pack, CommandCode.CLOSE_IDLE)
 pack_report_fault = partial(struct.Struct("<BHII13x").pack, CommandCode.REPORT_FAULT)
 pack_watch_endpoint_list = partial(struct.Struct("<BHB20x").pack, CommandCode.WATCH_ENDPOINT_LIST)
@@ -158,7 +158,7 @@
     def schedule_wakeup(self, instance: int, delay_ms: float, label: int) -> None:
         """Wake the instance after a delay."""
 
-    def probe(self, instance: int, endpoint: int | str) -> None:
+    def check_health(self, instance: int, endpoint: int | str) -> None:
         """Check the health of an endpoint."""
 
     def close_idle(self, instance: int, endpoint: int | str) -> None:
@@ -192,9 +192,9 @@
         """Wake the instance after a delay."""
         self._commands.append(pack_schedule_wakeup(instance, delay_ms / 1000.0, label))
 
-    def probe(self, instance: int, endpoint: int | str) -> None:
+    def check_health(self, instance: int, endpoint: int | str) -> None:
         """Check the health of an endpoint."""
-        self._commands.append(pack_probe(instance, endpoint))
+        self._commands.append(pack_check_health(instance, endpoint))
 
     def close_idle(self, instance: int, endpoint: int | str) -> None:
         """Close the idle connections to an endpoint."""
--- a/swiftthread/simulator/messages.py
+++ b/swiftthread/simulator/messages.py
@@ -35,7 +35,7 @@
     REJECT = 81
     ABANDON = 82
     SCHEDULE_WAKEUP = 84
-    PROBE = 85
+    CHECK_HEALTH = 85
     CLOSE_IDLE = 86
     REPORT_FAULT = 89
     WATCH_ENDPOINT_LIST = 90
--- a/swiftthread/simulator/session_host.py
+++ b/swiftthread/simulator/session_host.py
@@ -66,7 +66,7 @@
             if self.sessions.get(session.number) is not session:
                 continue
             try:
-                session.settle(frame.now_ms, reply)
+                session.run_cycle(frame.now_ms, reply)
             except Exception as error:
                 reply.report_fault(
                     session.number, f"batch {frame.batch_number}: {type(error).__name__}: {error}"
--- a/swiftthread/simulator/sessions.py
+++ b/swiftthread/simulator/sessions.py
@@ -61,9 +61,9 @@
             message.tenant,
             message.ordering_key,
         )
-        self.hold(event, message.ticket)
+        self.add_pending(event, message.ticket)
 
-    def hold(self, event: Event, ticket: int) -> None:
+    def add_pending(self, event: Event, ticket: int) -> None:
         """Hold an event of the router under its ticket, to be decided at the end of the batch."""
         event.handle = ticket
         self.pending[ticket] = event
@@ -134,12 +134,12 @@
         if check.or_after_outcome:
             self.waiting_for_result[event.handle] = event
 
-    def settle(self, now: float, commands: CommandWriter) -> None:
+    def run_cycle(self, now: float, commands: CommandWriter) -> None:
         """Decide every event whose moment has come, then set the timer for the next."""
         for event in self.router.sort_by_urgency(self._take_due_events(now), now):
             self.answer(event, self.router.decide(event, now), now, commands)
         for endpoint in self.router.endpoints_due_for_health_check(now):
-            commands.probe(self.number, endpoint.endpoint_id)
+            commands.check_health(self.number, endpoint.endpoint_id)
         for endpoint in self.router.endpoints_to_disconnect(now):
             commands.close_idle(self.number, endpoint.endpoint_id)
         if self.router.should_request_list(now):
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -115,7 +115,7 @@
             now, _, member, act, args = heapq.heappop(self.todo)
             member.now = now
             act(*args)
-            member.session.settle(now, member)
+            member.session.run_cycle(now, member)
         return self
 
     def lines(self, word):
--- a/tests/support/simulated_node.py
+++ b/tests/support/simulated_node.py
@@ -60,7 +60,7 @@
         event = router.add_event(
             self.now, stream, destination, left or router.stream_types[stream].max_age_ms, 0, ordering_key
         )
-        self.session.hold(event, ticket)
+        self.session.add_pending(event, ticket)
 
     def end_attempt(self, ticket, endpoint, outcome, delay, retry_after_ms=0.0):
         """End an attempt."""
@@ -114,7 +114,7 @@
     def abandon(self, _node, ticket):
         self.say(f"abandon {ticket}")
 
-    def probe(self, _node, endpoint):
+    def check_health(self, _node, endpoint):
         self.say(f"probe {endpoint}")
         delay, outcome, *_ = self.answers(None, endpoint, self.now) or (1000.0, SendOutcome.TIMED_OUT)
         self.schedule(
@@ -146,7 +146,7 @@
             while self.todo and self.todo[0][0] <= self.now:
                 _, _, act, args = heapq.heappop(self.todo)
                 act(*args)
-            self.session.settle(self.now, self)
+            self.session.run_cycle(self.now, self)
         return self
 
     def assert_matches_trace(self, name):
