--- a/swiftthread/client/__init__.py
+++ b/swiftthread/client/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 clients of a node: calls to endpoints, the discovery watch, and notifications of results."""
+"""HTTP/1.1 clients of a node: calls to endpoints, the discovery watch, and notifications of outcomes."""
--- a/swiftthread/client/batch.py
+++ b/swiftthread/client/batch.py
@@ -1,4 +1,4 @@
-"""The sends that share one call to an endpoint."""
+"""A batch: the sends of several events that share one call to an endpoint."""
 
 from __future__ import annotations
 
@@ -16,48 +16,56 @@
 
 @dataclass(slots=True, eq=False)
 class BatchedSend:
-    """One event's send in a call. Times are ms on the client's clock."""
+    """The send of one event in a call. Times are in ms on the clock of the `EndpointClient`."""
 
     pending: PendingEvent
     times_out_at: float
     is_last_attempt: bool
-    """Whether the event may not be sent again once this send has timed out."""
+    """Whether the event may not be sent again after this send has timed out."""
     finished: anyio.Event = field(default_factory=anyio.Event)
     result: SendResult = field(init=False)
-    """Set when `finished` is."""
+    """Set together with `finished`, and not before."""
 
     def finish(self, result: SendResult) -> None:
-        """Set the result; the first one counts."""
+        """Set the result and wake the waiting task. Does nothing if the send already has a result."""
         if not self.finished.is_set():
             self.result = result
             self.finished.set()
 
 
 class Batch:
-    """The sends that leave in one call."""
+    """The sends that are sent in one call.
+
+    Attributes:
+        endpoint: The endpoint that is called.
+        sends: All sends of the batch, in the order in which they were added.
+        in_call: The sends whose events are in the request: those that had no result when its first byte was
+            sent. Empty before that.
+    """
 
     __slots__ = ("endpoint", "sends", "in_call")
 
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
         self.sends: list[BatchedSend] = []
-        self.in_call: list[BatchedSend] = []  # those that were not finished when the first byte was sent
+        self.in_call: list[BatchedSend] = []
 
     def add(self, pending: PendingEvent, times_out_at: float, is_last_attempt: bool) -> BatchedSend:
-        """Let one more event travel in the call."""
+        """Add an event to the call and return its send."""
         send = BatchedSend(pending, times_out_at, is_last_attempt)
         self.sends.append(send)
         return send
 
     def unfinished(self) -> list[BatchedSend]:
-        """The sends that have no result yet."""
+        """Returns the sends that have no result yet."""
         return [send for send in self.sends if not send.finished.is_set()]
 
     def connect_deadline(self) -> float:
-        """Until when the call waits for a connection.
+        """Returns the time until which the call waits for a connection.
 
-        An event that may be sent again elsewhere ends the wait with its time-out. Any other leaves the call
-        as long as nothing is sent, and the wait goes on for the rest.
+        An event that may be sent again to another endpoint ends the wait when it times out. An event on its
+        last attempt does not: as long as nothing has been sent, it is removed from the call when it times
+        out, and the call keeps waiting for the other events.
         """
         retryable = [send.times_out_at for send in self.sends if not send.is_last_attempt]
         if retryable:
@@ -65,9 +73,9 @@
         return max(send.times_out_at for send in self.sends)
 
     def response_deadline(self) -> float:
-        """Until when the call waits for its response.
+        """Returns the time until which the call waits for its response.
 
-        The first time-out ends the call for all that travel in it: while it is in flight none of them may
-        be reported as ended, for it may still run.
+        The first time-out ends the call for all events in it. No event may get a final outcome while the call
+        is in flight, because the endpoint may still process it.
         """
         return min(send.times_out_at for send in self.in_call)
--- a/swiftthread/client/discovery_client.py
+++ b/swiftthread/client/discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery: the endpoint list, by a watch that is opened anew when it ends or falls silent."""
+"""Client of discovery: it follows the endpoint list through a watch, one long HTTP response."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from swiftthread.network.connection import Connection, ConnectionClosed, connect
 from swiftthread.routing.messages import EndpointEntry
 
-MAX_UNREADABLE_IN_A_ROW = 2  # lists with an unreadable entry after which it is tolerated
+MAX_CONSECUTIVE_UNREADABLE_LISTS = 2  # in the next one the unreadable entries are tolerated
 
 UpdateCallback = Callable[[list[EndpointEntry], bool], Awaitable[None]]
-"""Takes the fields of an `EndpointListUpdate`."""
+"""Receives the fields of an `EndpointListUpdate` as its arguments."""
 
 
 class DiscoveryClient:
-    """Watches the endpoint list."""
+    """Watches the endpoint list. Its owner calls `watch` again after each watch that ended."""
 
     def __init__(
         self,
@@ -37,12 +37,13 @@
         """Construct the client.
 
         Args:
-            address: (host, port) of discovery.
-            buffers: Buffers for reads.
-            kind_numbers: Number by name of the endpoint kinds in the settings.
-            zone_numbers: Number by name of the zones in the settings.
-            idle_timeout_ms: How long a watch may go without a whole line, or list, before it is given up.
-            connect_timeout_ms: How long a connect may take.
+            address: Address of discovery, as (host, port).
+            buffers: Pool of buffers for reads.
+            kind_numbers: Numbers of the endpoint kinds in the settings, by name.
+            zone_numbers: Numbers of the zones in the settings, by name.
+            idle_timeout_ms: How long a watch may deliver neither an empty line nor a complete list document
+                before it is closed.
+            connect_timeout_ms: How long connecting may take.
         """
         self.address = address
         self.buffers = buffers
@@ -53,25 +54,28 @@
 
     @property
     def addresses(self) -> Mapping[str | int, Address]:
-        """The mapping of endpoint ids to (host, port), which is kept up to date in place."""
+        """Addresses as (host, port), by endpoint id. The mapping is updated in place."""
         return self.endpoint_list.addresses
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Discovery has moved: the watch ends, and the next asks there for the complete list."""
+        """Set the address after discovery has moved.
+
+        The current watch is cancelled, and the next one requests the complete list at the new address.
+        """
         if address != self.address:
             self.address = address
             self.endpoint_list.version = 0
             self.watch_scope.cancel()
 
-    def apply_list(self, page: Any) -> EndpointListUpdate:
-        """Read a page in discovery's form; see `EndpointList.apply_page`."""
-        return self.endpoint_list.apply_page(page)
+    def apply_list(self, document: Any) -> EndpointListUpdate:
+        """Apply a list document from discovery; see `EndpointList.apply_document`."""
+        return self.endpoint_list.apply_document(document)
 
     async def watch(self, on_update: UpdateCallback) -> bool:
-        """Hand each update to `on_update`, until the watch ends, falls silent or breaks.
+        """Open a watch and pass each update to `on_update`, until the watch ends, times out or fails.
 
         Returns:
-            False when discovery has moved.
+            False if the watch was cancelled because discovery has moved, otherwise True.
         """
         with anyio.CancelScope() as self.watch_scope:
             await self._watch(on_update)
@@ -84,20 +88,22 @@
             with anyio.fail_after(self.connect_timeout_ms / 1000.0):
                 connection = await connect(self.address, self.buffers, client_parser())
             await self._request_watch(connection)
-            await self._follow(connection, on_update)
+            await self._read_updates(connection, on_update)
         except (ConnectionClosed, TimeoutError):
-            logger.info("discovery {}:{}: the watch ended", host, port)
+            logger.info("discovery {}:{}: the watch is closed or timed out; another is opened", host, port)
         except PARSE_ERRORS as error:
-            self.endpoint_list.version = 0  # what was missed is unknown: the complete list is asked for
+            self.endpoint_list.version = 0  # which updates were missed is unknown: request the complete list
             logger.warning(
-                "discovery {}:{}: the watch cannot be read ({}); the complete list is asked for",
+                "discovery {}:{}: the watch cannot be parsed ({}); the complete list is requested",
                 host,
                 port,
                 error,
             )
-        except Exception:  # guards the node: the complete list is asked for on another connection
+        except (
+            Exception
+        ):  # keeps the node running: the next watch requests the complete list on another connection
             self.endpoint_list.version = 0
-            logger.exception("discovery {}:{}: the watch failed", host, port)
+            logger.exception("discovery {}:{}: the watch failed; the complete list is requested", host, port)
         finally:
             if connection is not None:
                 connection.close()
@@ -107,24 +113,29 @@
         request = HttpRequest("GET", target, [("Host", "discovery")])
         await connection.write(*encode_request(connection, request))
 
-    async def _follow(self, connection: Connection, on_update: UpdateCallback) -> None:
-        """Hand on updates until the body ends; TimeoutError when it falls silent."""
+    async def _read_updates(self, connection: Connection, on_update: UpdateCallback) -> None:
+        """Pass each update to `on_update` until the response body ends.
+
+        Raises:
+            TimeoutError: The watch was idle for longer than `idle_timeout_ms`.
+            MalformedEndpointList: A list has an unreadable entry, and the complete list is to be requested.
+        """
         lines = BodyLineReader(connection)
         assembler = JsonAssembler()
         while True:
-            page = None
-            # An object that does not end is silence, too.
+            document = None
+            # The timeout covers a whole document: one that never ends counts as idle, too.
             with anyio.fail_after(self.idle_timeout_ms / 1000.0):
                 while (line := await lines.read_line()) is not None:
-                    page = assembler.add(line)
-                    if page is not None or not assembler.has_begun:
+                    document = assembler.add(line)
+                    if document is not None or not assembler.has_begun:
                         break
             if line is None:
                 return
-            if page is None:
-                continue  # an empty line, which keeps the watch alive
-            entries, is_complete = self.apply_list(page)
+            if document is None:
+                continue  # an empty line, sent by discovery as a keep-alive
+            entries, is_complete = self.apply_list(document)
             await on_update(entries, is_complete)
-            if 0 < self.endpoint_list.unreadable_in_a_row <= MAX_UNREADABLE_IN_A_ROW:
-                # The complete list, asked for anew, may name the endpoint in a form that can be read.
-                raise MalformedEndpointList("an entry of the list cannot be read")
+            if 0 < self.endpoint_list.consecutive_unreadable_lists <= MAX_CONSECUTIVE_UNREADABLE_LISTS:
+                # The complete list is requested again: it may have a readable entry for this endpoint.
+                raise MalformedEndpointList("an entry of the endpoint list cannot be parsed")
--- a/swiftthread/client/endpoint_call.py
+++ b/swiftthread/client/endpoint_call.py
@@ -1,4 +1,4 @@
-"""One call to an endpoint: its connection, the deadlines of its bytes, and the wait for its response."""
+"""One call to an endpoint: its connection, the send deadlines of its events, and its response."""
 
 from __future__ import annotations
 
@@ -26,11 +26,20 @@
 """Returns a time in ms."""
 
 SendDeadline = Callable[["Event", "Endpoint", float], float]
-"""(event, endpoint, now) -> by when its last byte must have left; -inf when its first may not any more."""
+"""Takes (event, endpoint, now) and returns when the last byte of the send must have been sent, in ms.
+
+Returns -inf when the event may not be sent to this endpoint any more.
+"""
 
 
 class EndpointCall:
-    """One call with the sends of a batch. Times are ms on `clock`, the monotonic one."""
+    """One call with the sends of a batch. Times are in ms on `clock`, which is monotonic.
+
+    Attributes:
+        initial_deadlines: The send deadline of each send when the call started, in the order of the batch.
+        key: The endpoint and its address when the call started.
+        write_started_at: Time right before the first byte was sent.
+    """
 
     __slots__ = (
         "batch",
@@ -43,7 +52,7 @@
         "key",
         "connection",
         "response",
-        "written_at",
+        "write_started_at",
     )
 
     def __init__(
@@ -60,30 +69,29 @@
         self.log_clock = log_clock
         self.send_deadline = send_deadline
         self.started_at = clock()
-        # Send deadline of each send, in their order, as it was when the call started.
         self.initial_deadlines = [
             send_deadline(send.pending.event, batch.endpoint, self.started_at) for send in batch.sends
         ]
         self.key = connections.key_of(batch.endpoint)
         self.connection: Connection | None = None
         self.response = HttpResponse()
-        self.written_at = 0.0  # right before the first byte
+        self.write_started_at = 0.0
 
     async def run(self) -> CompletedCall:
-        """Make the call; how it ended, apart from what `response` says."""
+        """Make the call and return how it ended, apart from what the response says (see `response`)."""
         is_refused = False
         try:
             outcome = await self._attempt()
         except ConnectionClosed as closed:
             outcome = SendOutcome.RESET if closed.request_was_written else SendOutcome.UNREACHABLE
             is_refused = closed.was_refused
-        except Exception:  # guards the other calls: a fault in one is a reset of this one
-            logger.exception("endpoint {}, address {}: a call failed", *self.key)
+        except Exception:  # keeps the other calls running: an error in a call counts as a reset of this call
+            logger.exception("endpoint {}, address {}: a call failed; its events have no response", *self.key)
             outcome = SendOutcome.UNREACHABLE if self.connection is None else SendOutcome.RESET
         finally:
             self.connections.release(self.key, self.connection, self.response)
         if outcome == SendOutcome.TIMED_OUT and self.response.has_begun:
-            outcome = SendOutcome.RESET  # it did answer, but not to the end
+            outcome = SendOutcome.RESET  # the endpoint began to respond, but did not finish
         connection = self.connection
         return CompletedCall(
             outcome,
@@ -92,8 +100,8 @@
             received_at=self.log_clock() - self._response_age_ms(),
         )
 
-    async def finish_early(self) -> None:
-        """Until the first byte is sent, finish each send whose deadline passes before the others'."""
+    async def finish_expired_sends(self) -> None:
+        """Finish each send whose deadline passes before the first byte of the call is sent."""
         sends = sorted(zip(self.initial_deadlines, self.batch.sends, strict=True), key=lambda pair: pair[0])
         for deadline, send in sends:
             await anyio.sleep(max(0.0, deadline - self.clock()) / 1000.0)
@@ -102,7 +110,11 @@
             self._finish_unsent(send, self.clock())
 
     async def _attempt(self) -> SendOutcome:
-        """Connect, write and read; raises ConnectionClosed when the connection is over."""
+        """Connect, write the request and read the response.
+
+        Raises:
+            ConnectionClosed: The connection failed or was closed.
+        """
         connect_by = self.batch.connect_deadline()
         last_send_deadline = max(self.initial_deadlines)
         with anyio.move_on_after(max(0.0, min(connect_by, last_send_deadline) - self.started_at) / 1000.0):
@@ -116,22 +128,27 @@
         events = [send.pending for send in self.batch.in_call]
         request = build_send_request(events, respond_by - self.clock())
         parts = encode_request(self.connection, request)
-        self.written_at = self.clock()
+        self.write_started_at = self.clock()
         self.connection.received_at = None
         return await self._exchange(self.connection, parts, write_by, respond_by)
 
     def _check_send_deadlines(self) -> float:
-        """Right before the first byte: choose the sends that may still leave, and by when all must have left.
+        """Right before the first byte is sent, set `batch.in_call` to the sends that may still be made.
 
-        The others end as not sent: the connection may have come up late, or this process may have been
+        The other sends finish as not sent: connecting may have taken too long, or this process may have been
         suspended.
+
+        Returns:
+            The time by which the last byte of the request must have been sent.
         """
         now = self.clock()
         endpoint = self.batch.endpoint
         write_by = math.inf
         for send in self.batch.unfinished():
             deadline = -math.inf
-            if self.connections.key_of(endpoint) == self.key:  # else the address is another endpoint's
+            if (
+                self.connections.key_of(endpoint) == self.key
+            ):  # otherwise the address may now belong to another endpoint
                 deadline = self.send_deadline(send.pending.event, endpoint, now)
             if now < deadline and now < send.times_out_at:
                 write_by = min(write_by, deadline)
@@ -146,7 +163,11 @@
     async def _exchange(
         self, connection: Connection, parts: list[bytes], write_by: float, respond_by: float
     ) -> SendOutcome:
-        """Write the request and read the response; the outcome as far as it is known without reading that."""
+        """Write the request and read the response.
+
+        Returns:
+            The outcome as far as it is known without the contents of the response.
+        """
         outcome = SendOutcome.UNREACHABLE
         begun_at = self.clock()
         with anyio.move_on_after(max(0.0, respond_by - begun_at) / 1000.0) as response_scope:
@@ -154,10 +175,10 @@
                 await connection.write(*parts)
                 outcome = SendOutcome.TIMED_OUT
             if write_scope.cancelled_caught:
-                return SendOutcome.NOT_SENT  # a call begins with its last byte
+                return SendOutcome.NOT_SENT  # an endpoint processes a call only after its last byte
             if await self._is_delivered(connection, response_scope, write_by):
                 await receive(connection, self.response, response_scope)
-        # A process that was suspended may find its response beside the timer that ran out.
+        # After a suspension of this process the timer may have expired although the response has arrived.
         while (
             outcome == SendOutcome.TIMED_OUT and not self.response.is_complete and connection.read_available()
         ):
@@ -167,26 +188,27 @@
     async def _is_delivered(
         self, connection: Connection, response_scope: anyio.CancelScope, deliver_by: float
     ) -> bool:
-        """Read the response until `deliver_by`; whether the endpoint's machine has the whole request then.
+        """Read the response until `deliver_by`; return whether the endpoint's host has the whole request.
 
-        If not, the request may still arrive too late.
+        If it does not, the rest of the request could still arrive after the deadline.
         """
         with anyio.move_on_after(max(0.0, deliver_by - self.clock()) / 1000.0):
             await receive(connection, self.response, response_scope)
         return self.response.is_complete or connection.is_all_acknowledged()
 
     def _response_age_ms(self) -> float:
-        """Ms for which the kernel has had the response; 0 when it does not say."""
+        """Returns how long ago the kernel received the response, in ms; 0 if it gave no timestamp."""
         if self.connection is None or self.connection.received_at is None:
             return 0.0
         return self.clock() - self.connection.received_at
 
     def _latency_ms(self, is_refused: bool) -> float:
-        """From the write to the response, or from the start to the end of a call without one.
+        """Returns the time from the start of the write to the response, in ms.
 
-        The response counts from the moment at which the kernel had it: our own slowness in reading it would
-        be taken for the endpoint's.
+        For a call without a response it is the time from its start to its end, or 0 if the connection was
+        refused. The response's time is when the kernel received it. Otherwise a delay of this process in
+        reading it would be attributed to the endpoint.
         """
         if self.connection is None or not (self.response.has_begun or self.response.is_complete):
             return 0.0 if is_refused else self.clock() - self.started_at
-        return max(0.0, self.clock() - self._response_age_ms() - self.written_at)
+        return max(0.0, self.clock() - self._response_age_ms() - self.write_started_at)
--- a/swiftthread/client/endpoint_client.py
+++ b/swiftthread/client/endpoint_client.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints: sends of events, several in one call where they are batched, and health checks."""
+"""Client of the endpoints: it sends events, one or several in a call, and makes health checks."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
     from swiftthread.routing.events import Call
     from swiftthread.storage.pending_event import PendingEvent
 
-DEADLINE_TOLERANCE_MS = 1.0  # a send whose time-out falls so close to its deadline is the event's last
+# A send that times out less than this before its deadline is the last attempt of its event.
+DEADLINE_TOLERANCE_MS = 1.0
 
 _OUTCOME_BY_HEALTH_STATUS = {200: SendOutcome.ACKED, 503: SendOutcome.RATE_LIMITED}
 
@@ -51,15 +52,15 @@
         """Construct the client.
 
         Args:
-            tasks: Runs the calls.
-            connections: Idle connections.
-            buffers: Buffers for reads.
-            clock: Monotonic time in ms.
-            log_clock: ms on the clock of the log.
-            addresses: (host, port) by endpoint id, kept up to date by its owner.
-            connect_timeout_ms: How long a connect, or a whole health check, may take.
-            report_fields: Names of the fields of a load report; empty where endpoints send none.
-            send_deadline: By when the last byte of a send must have left.
+            tasks: Task group in which the calls run.
+            connections: Pool of idle connections.
+            buffers: Pool of buffers for reads.
+            clock: Returns the monotonic time in ms.
+            log_clock: Returns the time of the write-ahead log's clock in ms.
+            addresses: Addresses as (host, port), by endpoint id; their owner updates the mapping in place.
+            connect_timeout_ms: How long connecting, or a whole health check, may take.
+            report_fields: Names of the fields of a load report; empty if endpoints send no load reports.
+            send_deadline: Returns when the last byte of a send must have been sent.
         """
         self.tasks = tasks
         self.connections = EndpointConnections(connections, buffers, addresses, connect_timeout_ms)
@@ -73,7 +74,7 @@
     async def send(self, pending: PendingEvent, send: Send) -> SendResult:
         """Send an event and return the result.
 
-        It leaves with the next `start_batches`, together with the others of its call.
+        The next `start_batches` starts the call, together with the other events of the same call.
         """
         now = self.clock()
         call = pending.event.call
@@ -88,17 +89,17 @@
         return batched_send.result
 
     def start_batches(self) -> None:
-        """Start the calls that were put together since the last time."""
+        """Start the calls of all batches that were collected since the previous start."""
         batches = self.batches
         self.batches = {}
         for batch in batches.values():
             self.tasks.start_soon(self._call, batch)
 
     async def _call(self, batch: Batch) -> None:
-        """Make one call, and finish each send in it."""
+        """Make the call of a batch and finish each send in it."""
         call = EndpointCall(batch, self.connections, self.clock, self.log_clock, self.send_deadline)
         if len(batch.sends) > 1:
-            self.tasks.start_soon(call.finish_early)
+            self.tasks.start_soon(call.finish_expired_sends)
         completed = await call.run()
         events = [send.pending for send in batch.sends]
         results = read_results(call.response, completed, events, len(batch.in_call), self.report_fields)
@@ -106,7 +107,7 @@
             send.finish(result)
 
     async def check_health(self, endpoint: Endpoint) -> SendResult:
-        """Make one health check; its outcome, its latency, and the load report if there is any."""
+        """Make a health check; return its outcome, its latency and the load report, if there is one."""
         started_at = self.clock()
         response = HttpResponse()
         connection: Connection | None = None
@@ -119,11 +120,11 @@
                 await exchange(connection, request, response, deadline_scope)
         except ConnectionClosed:
             outcome = SendOutcome.UNREACHABLE
-        except Exception:  # guards the node: a fault in a health check is one without a response
-            logger.exception("endpoint {}, address {}: a health check failed", *key)
+        except Exception:  # keeps the node running: the health check counts as one without a response
+            logger.exception("endpoint {}, address {}: a health check failed; it has no response", *key)
         finally:
             self.connections.release(key, connection, response)
-        # At another address than now it was another endpoint's response.
+        # If the endpoint's address has changed meanwhile, another endpoint may have sent the response.
         if response.first_line_status is not None and self.connections.key_of(endpoint) == key:
             outcome = _OUTCOME_BY_HEALTH_STATUS.get(response.first_line_status, SendOutcome.FAILED)
         report = parse_load_report(response.headers, self.report_fields)
--- a/swiftthread/client/endpoint_connections.py
+++ b/swiftthread/client/endpoint_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints while a call is on them; between calls they are in the connection pool."""
+"""Connections to endpoints: acquired from the connection pool for a call, and released to it afterwards."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EndpointConnections:
-    """Acquires a connection for a call, and keeps or closes it after the call."""
+    """Acquires a connection for a call, and pools, closes or resets it after the call."""
 
     __slots__ = ("pool", "buffers", "addresses", "connect_timeout_ms")
 
@@ -35,14 +35,18 @@
         self.connect_timeout_ms = connect_timeout_ms
 
     def key_of(self, endpoint: Endpoint) -> PoolKey:
-        """The key of an endpoint's connections now: an address can pass from one endpoint to the next."""
+        """Returns the pool key of an endpoint's connections.
+
+        It has both the endpoint id and the present address: discovery may assign the address of one endpoint
+        to another.
+        """
         return PoolKey(endpoint.endpoint_id, self.addresses.get(endpoint.endpoint_id))
 
     async def acquire(self, key: PoolKey) -> Connection:
-        """A pooled connection, or a new one.
+        """Returns a pooled connection, or a new one.
 
         Raises:
-            ConnectionClosed: The endpoint has no address, or no connection to it came up.
+            ConnectionClosed: The endpoint has no address, or connecting to it failed.
         """
         address = key.address
         if address is None:
@@ -54,7 +58,7 @@
         return connection
 
     def release(self, key: PoolKey, connection: Connection | None, response: HttpResponse) -> None:
-        """Keep the connection of a call that is over for the next call, or close it."""
+        """Return the connection of a completed call to the pool; close or reset it if it cannot be reused."""
         if connection is None:
             return
         if response.allows_reuse(connection) or connection.parser.our_state is h11.IDLE:
@@ -62,7 +66,8 @@
         elif response.has_begun or response.is_complete:
             connection.close()
         else:
-            # Who has answered has the request; of any other what has not arrived yet must not do so later.
+            # An endpoint that responded has the request. Without a response, bytes of the request that have
+            # not arrived yet must not arrive later, and a reset discards them.
             connection.reset()
 
     def close_idle(self, endpoint: Endpoint) -> None:
--- a/swiftthread/client/endpoint_list.py
+++ b/swiftthread/client/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what discovery's pages say of each endpoint."""
+"""The endpoint list: the endpoints and addresses that discovery's list documents name."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 
 STATE_READY = "SERVING"
 STATE_DELETED = "DELETED"
-FIRST_UNNAMED_NUMBER = 1 << 16  # numbers of zones, and of a kind, that the settings do not name
+# First number of zones that the settings do not name, and the one number of all kinds that they do not name.
+FIRST_UNCONFIGURED_NUMBER = 1 << 16
 
 
 class MalformedEndpointList(ValueError):
-    """A page that is no endpoint list, or one with an entry that cannot be read."""
+    """A list document that is not an endpoint list, or that has an entry that cannot be parsed."""
 
 
 class MalformedEndpointEntry(ValueError):
-    """An entry of which a value is missing or cannot be read."""
+    """An entry in which a value is missing or cannot be parsed."""
 
     def __init__(self, endpoint_id: object, key: str, reason: Exception) -> None:
         super().__init__(f"endpoint {endpoint_id!r}: {key}: {reason!r}")
@@ -33,20 +34,21 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """What one page says."""
+    """The contents of one list document."""
 
     entries: list[EndpointEntry]
     is_complete: bool
-    """Whether endpoints that it does not name are gone."""
+    """Whether endpoints that the document does not name are removed."""
 
 
 class EndpointList:
-    """The endpoints that discovery has listed. All tables are emptied as endpoints go.
+    """The endpoints that discovery has listed. Removed endpoints are deleted from the tables.
 
     Attributes:
-        version: Version of the last page; 0 when nothing is known.
-        addresses: (host, port) by endpoint id; one mapping for the life of the list.
-        unreadable_in_a_row: How many pages in a row held an entry that could not be read.
+        version: Version of the last list document; 0 before the first one.
+        addresses: Addresses as (host, port), by endpoint id; the mapping is updated in place.
+        consecutive_unreadable_lists: How many consecutive list documents, up to the last one, had an entry
+            that could not be parsed.
     """
 
     def __init__(self, kind_numbers: Mapping[str, int], zone_numbers: Mapping[str, int]) -> None:
@@ -54,125 +56,137 @@
         self.zone_numbers = zone_numbers
         self.version = 0
         self.addresses: dict[str | int, Address] = {}
-        self.unreadable_in_a_row = 0
-        self._entries: dict[str, EndpointEntry] = {}  # endpoint id -> its entry as last read
-        # Zone name that the settings do not know, or id of an endpoint without one -> number.
-        self._unnamed_zones: dict[str, int] = {}
+        self.consecutive_unreadable_lists = 0
+        self._entries: dict[str, EndpointEntry] = {}  # by endpoint id, as last parsed
+        # Numbers of zones that are not in the settings, by name; of endpoints without a zone, by id.
+        self._unconfigured_zones: dict[str, int] = {}
 
-    def apply_page(self, page: Any) -> EndpointListUpdate:
-        """Read a page in discovery's form.
+    def apply_document(self, document: Any) -> EndpointListUpdate:
+        """Apply a list document from discovery.
 
-        An entry that cannot be read is left out, unless its endpoint is known: that one then counts as not
-        ready.
+        An entry that cannot be parsed is left out. If its endpoint is known, the update has the last entry of
+        the endpoint instead, marked as not ready.
 
         Raises:
-            MalformedEndpointList: The page is no endpoint list, and nothing is changed.
+            MalformedEndpointList: The document is not an endpoint list; nothing has been changed.
         """
-        rows = _parse_rows(page)
-        version = _parse_version(page, default=self.version)
-        is_complete = bool(page.get("full"))
+        raw_entries = _parse_entries(document)
+        version = _parse_version(document, default=self.version)
+        is_complete = bool(document.get("full"))
         known_entries = dict(self._entries)
         if is_complete:
             self._entries.clear()
             self.addresses.clear()
-            self._unnamed_zones.clear()
+            self._unconfigured_zones.clear()
         entries = []
         has_unreadable = False
-        for row in rows:
+        for raw_entry in raw_entries:
             try:
-                entries.append(self._apply_row(row))
+                entries.append(self._apply_entry(raw_entry))
             except PARSE_ERRORS as error:
                 has_unreadable = True
-                logger.warning("discovery: an entry cannot be read ({}): {:.200}", error, repr(row))
-                endpoint_id = row.get("id") if isinstance(row, dict) else None
+                logger.warning(
+                    "discovery: an entry of the list cannot be parsed ({}) and is not applied: {:.200}",
+                    error,
+                    repr(raw_entry),
+                )
+                endpoint_id = raw_entry.get("id") if isinstance(raw_entry, dict) else None
                 if isinstance(endpoint_id, str) and endpoint_id in known_entries:
                     entries.append(known_entries[endpoint_id]._replace(is_ready=False))
         self.version = version
-        self.unreadable_in_a_row = self.unreadable_in_a_row + 1 if has_unreadable else 0
+        self.consecutive_unreadable_lists = self.consecutive_unreadable_lists + 1 if has_unreadable else 0
         return EndpointListUpdate(entries, is_complete)
 
-    def _apply_row(self, row: Any) -> EndpointEntry:
-        """Read one endpoint; its entry and address are kept only if all of it can be read."""
-        endpoint_id = _parse_value(row, "id", _require_string)
-        state = _parse_value(row, "state", lambda value: value)
-        address = None if state == STATE_DELETED else _parse_value(row, "addr", parse_address)
+    def _apply_entry(self, raw_entry: Any) -> EndpointEntry:
+        """Parse the entry of one endpoint; it and the address are stored only if all values can be parsed."""
+        endpoint_id = _parse_value(raw_entry, "id", _require_string)
+        state = _parse_value(raw_entry, "state", lambda value: value)
+        address = None if state == STATE_DELETED else _parse_value(raw_entry, "addr", parse_address)
         entry = EndpointEntry(
             endpoint_id=endpoint_id,
-            destination_number=_parse_value(row, "cell", int),
-            zone=self._zone_number(endpoint_id, row.get("zone")),
-            kind=self._kind_number(endpoint_id, row.get("kind")),
-            listed_rate=_parse_value(row, "weight", _parse_rate) if "weight" in row else 0.0,
+            destination_number=_parse_value(raw_entry, "cell", int),
+            zone=self._zone_number(endpoint_id, raw_entry.get("zone")),
+            kind=self._kind_number(endpoint_id, raw_entry.get("kind")),
+            listed_rate=_parse_value(raw_entry, "weight", _parse_rate) if "weight" in raw_entry else 0.0,
             is_ready=state == STATE_READY,
         )
         if address is None:
             self._entries.pop(endpoint_id, None)
             self.addresses.pop(endpoint_id, None)
-            self._unnamed_zones.pop(endpoint_id, None)
+            self._unconfigured_zones.pop(endpoint_id, None)
         else:
             self._entries[endpoint_id] = entry
             self.addresses[endpoint_id] = address
         return entry
 
     def _kind_number(self, endpoint_id: str, name: Any) -> int:
-        """The kind's number.
+        """Returns the number of a kind.
 
-        Where the settings don't name it, a number of no kind: one event a call, no route of its own.
+        A kind that the settings do not name has FIRST_UNCONFIGURED_NUMBER, which no kind in the settings
+        has: its endpoints get one event per call and have no separate route.
         """
         if not (isinstance(name, str) and name in self.kind_numbers):
             logger.warning(
-                "endpoint {}: kind {!r} is not in the settings; it gets one event a call", endpoint_id, name
+                "endpoint {}: kind {!r} is not in the settings; it gets one event per call", endpoint_id, name
             )
-            return FIRST_UNNAMED_NUMBER
+            return FIRST_UNCONFIGURED_NUMBER
         return self.kind_numbers[name]
 
     def _zone_number(self, endpoint_id: str, name: Any) -> int:
-        """The zone's number; where the settings don't name it, one of its own, the same after a restart.
+        """Returns the number of a zone.
 
-        Events are deduplicated within one zone only. An endpoint without a zone is a zone of its own.
+        A zone that the settings do not name has a separate number, which is the same after a restart, because
+        events are deduplicated only within one zone. An endpoint without a zone counts as a separate zone.
         """
         if isinstance(name, str) and name in self.zone_numbers:
             return self.zone_numbers[name]
         has_name = isinstance(name, str) and name != ""
         zone = name if has_name else endpoint_id
-        if zone not in self._unnamed_zones:
-            self._unnamed_zones[zone] = FIRST_UNNAMED_NUMBER + zlib.crc32(repr((has_name, zone)).encode())
+        if zone not in self._unconfigured_zones:
+            self._unconfigured_zones[zone] = FIRST_UNCONFIGURED_NUMBER + zlib.crc32(
+                repr((has_name, zone)).encode()
+            )
             logger.warning(
-                "endpoint {}: zone {!r} is not in the settings; it counts as separate from all others",
+                "endpoint {}: zone {!r} is not in the settings; it counts as separate from all other zones",
                 endpoint_id,
                 name,
             )
-        return self._unnamed_zones[zone]
+        return self._unconfigured_zones[zone]
 
 
-def _parse_rows(page: Any) -> list[Any]:
+def _parse_entries(document: Any) -> list[Any]:
     try:
-        rows = page["servers"]
+        raw_entries = document["servers"]
     except PARSE_ERRORS as error:
         raise MalformedEndpointList(f"servers: {error!r}") from error
-    if not isinstance(rows, list):
-        raise MalformedEndpointList(f"servers: no list but {type(rows).__name__}")
-    return rows
+    if not isinstance(raw_entries, list):
+        raise MalformedEndpointList(f"servers: not a list but {type(raw_entries).__name__}")
+    return raw_entries
 
 
-def _parse_version(page: dict[str, Any], default: int) -> int:
+def _parse_version(document: dict[str, Any], default: int) -> int:
     try:
-        return int(page.get("version") or default)
+        return int(document.get("version") or default)
     except PARSE_ERRORS as error:
         raise MalformedEndpointList(f"version: {error!r}") from error
 
 
-def _parse_value(row: Any, key: str, parse: Callable[[Any], Value]) -> Value:
-    """The parsed value under a key of an entry; MalformedEndpointEntry when it cannot be read."""
+def _parse_value(raw_entry: Any, key: str, parse: Callable[[Any], Value]) -> Value:
+    """Parse the value under a key of an entry.
+
+    Raises:
+        MalformedEndpointEntry: The value is missing or cannot be parsed.
+    """
     try:
-        return parse(row[key])
+        return parse(raw_entry[key])
     except PARSE_ERRORS as error:
-        endpoint_id = row.get("id") if isinstance(row, dict) else None
+        endpoint_id = raw_entry.get("id") if isinstance(raw_entry, dict) else None
         raise MalformedEndpointEntry(endpoint_id, key, error) from error
 
 
 def _require_string(value: Any) -> str:
     if not isinstance(value, str):
-        raise TypeError(f"no string: {value!r}")
+        raise TypeError(f"not a string: {value!r}")
     return value
 
 
--- a/swiftthread/client/endpoint_request.py
+++ b/swiftthread/client/endpoint_request.py
@@ -1,4 +1,4 @@
-"""The request that carries one event, or several, to an endpoint."""
+"""The HTTP request that sends one or several events to an endpoint."""
 
 from __future__ import annotations
 
@@ -16,7 +16,12 @@
 
 
 def build_send_request(events: Sequence[PendingEvent], remaining_ms: float) -> HttpRequest:
-    """The request for these events, of which the endpoint is told how long its answer is waited for."""
+    """Build the request for one or several events.
+
+    Args:
+        events: The events of the call.
+        remaining_ms: How long the response is waited for; the endpoint gets it in the X-Remaining header.
+    """
     headers = [HOST_HEADER, ("X-Remaining", f"{max(1, int(remaining_ms))}m")]
     if len(events) == 1:
         (pending,) = events
@@ -25,12 +30,12 @@
             headers.append(("Idempotency-Key", pending.idempotency_key))
         return HttpRequest("POST", "/receive", headers, pending.body)
     headers.append(("Content-Type", "application/json"))
-    rows = [_batch_row(pending) for pending in events]
-    return HttpRequest("POST", "/receive-many", headers, json.dumps(rows).encode())
+    entries = [_batch_entry(pending) for pending in events]
+    return HttpRequest("POST", "/receive-many", headers, json.dumps(entries).encode())
 
 
-def _batch_row(pending: PendingEvent) -> dict[str, str]:
-    row = {"id": pending.event_id, "body": base64.b64encode(pending.body).decode()}
+def _batch_entry(pending: PendingEvent) -> dict[str, str]:
+    entry = {"id": pending.event_id, "body": base64.b64encode(pending.body).decode()}
     if pending.idempotency_key:
-        row["key"] = pending.idempotency_key
-    return row
+        entry["key"] = pending.idempotency_key
+    return entry
--- a/swiftthread/client/endpoint_response.py
+++ b/swiftthread/client/endpoint_response.py
@@ -1,4 +1,4 @@
-"""What an endpoint's response to a call means for each event in it. Nothing is read from a socket here."""
+"""The result of each event in a call, derived from the endpoint's response. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class EventState(StrEnum):
-    """What the response to a call of several events says of one of them, in the words of the wire."""
+    """State of one event in the response to a call of several; the values are those of the protocol."""
 
     DONE = "done"
     FAILED = "failed"
     BUSY = "busy"
     VOID = "void"
-    """The event is over: nobody may send it again."""
+    """The event was not executed and may not be sent again, neither by this node nor by another."""
     USED_UP = "used_up"
 
 
@@ -37,22 +37,22 @@
     EventState.VOID: SendOutcome.NOT_EXECUTED,
     EventState.USED_UP: SendOutcome.NOT_EXECUTED,
 }
-_STATE_BY_WORD = {state.value: state for state in EventState}
+_STATE_BY_VALUE = {state.value: state for state in EventState}
 
-_STATUS_GONE = 410  # the event is over, as with EventState.VOID
+_STATUS_GONE = 410  # the event may not be sent again, as with EventState.VOID
 _NOT_EXECUTED_STATUSES = frozenset((400, _STATUS_GONE, 413, 504))
 _RATE_LIMITED_STATUSES = frozenset((429, 503))
 
 
 @dataclass(slots=True)
 class CompletedCall:
-    """How a call ended, as far as that is known without its response."""
+    """How a call ended, as far as it is known without the contents of its response."""
 
     outcome: SendOutcome
     latency_ms: float
     is_first_on_connection: bool
     received_at: float
-    """When the kernel had the response, in ms on the clock of the log."""
+    """When the kernel received the response, in ms on the clock of the write-ahead log."""
 
 
 def read_results(
@@ -62,47 +62,49 @@
     in_call_count: int,
     report_fields: Collection[str],
 ) -> list[SendResult]:
-    """The result of each event's send, in the order of `events`.
+    """Returns the result of each event's send, in the order of `events`.
 
     Args:
-        response: The response, as far as it came.
-        call: How the call ended apart from it.
-        events: All events of the call.
-        in_call_count: How many of them were sent.
+        response: The response, as far as it was received.
+        call: How the call ended apart from the response.
+        events: All events of the call's batch.
+        in_call_count: How many of them were in the request.
         report_fields: Names of the fields of a load report.
     """
     retry_after_ms = parse_retry_after_ms(response.headers)
     report = parse_load_report(response.headers, report_fields)
     states: dict[str, EventState] = {}
     if response.first_line_status == 200 and in_call_count == 1:
-        outcome = SendOutcome.ACKED  # whatever follows its first line
+        outcome = SendOutcome.ACKED  # the first line is enough, even if the rest is malformed or missing
     elif response.status == 200 and response.is_complete:
-        # An event of several is delivered with the end of the response: a part of it counts for nothing.
+        # In a call of several events an ack counts only in a complete response.
         states = _parse_states(response.body)
         outcome = SendOutcome.RESET  # for an event that the response leaves out
     elif response.is_complete:
         outcome = _outcome_of_error(response, call, has_retry_after=retry_after_ms > 0)
     else:
         outcome = call.outcome
-    is_gone = response.status == _STATUS_GONE and response.is_complete and not response.has_trailing_bytes
+    is_status_gone = (
+        response.status == _STATUS_GONE and response.is_complete and not response.has_trailing_bytes
+    )
     results = []
     for pending in events:
         state = states.get(pending.event_id)
         event_outcome = outcome if state is None else _OUTCOME_BY_STATE[state]
-        # Past its expiry an event is not acked: whoever waited for it has been answered.
+        # After its expiry an event cannot be acked: its client has already received another outcome.
         if event_outcome == SendOutcome.ACKED and call.received_at > pending.expires_at:
             event_outcome = SendOutcome.TIMED_OUT
-        is_finished = is_gone or state is EventState.VOID or event_outcome == SendOutcome.ACKED
+        is_finished = is_status_gone or state is EventState.VOID or event_outcome == SendOutcome.ACKED
         results.append(SendResult(event_outcome, call.latency_ms, retry_after_ms, is_finished, report))
     return results
 
 
 def _outcome_of_error(response: HttpResponse, call: CompletedCall, has_retry_after: bool) -> SendOutcome:
-    """The outcome of a complete response other than 200."""
+    """Returns the outcome of a complete response with a status other than 200."""
     status = response.status
     headers = response.headers
     if response.has_trailing_bytes:
-        return SendOutcome.RESET  # its length may be wrong, and then the event may have run
+        return SendOutcome.RESET  # its length may be wrong, so the event may have run
     if status in _NOT_EXECUTED_STATUSES:
         return SendOutcome.NOT_EXECUTED
     if status == 503 and headers.get("x-egress-full") == "1":
@@ -120,7 +122,7 @@
 
 
 def parse_retry_after_ms(headers: Mapping[str, str]) -> float:
-    """The wait of a Retry-After header, ms; 0 when there is none, or it is no number."""
+    """Returns the wait in a Retry-After header, in ms; 0 if it is missing or not a positive number."""
     try:
         wait_ms = 1000.0 * float(headers.get("retry-after", 0))
     except ValueError:
@@ -129,7 +131,7 @@
 
 
 def parse_load_report(headers: Mapping[str, str], fields: Collection[str]) -> LoadReport | None:
-    """The load report that came with a response; None when there is none, or it cannot be read."""
+    """Returns the load report in a response's headers; None if it is missing or cannot be parsed."""
     if LOAD_REPORT_HEADER not in headers:
         return None
     try:
@@ -141,12 +143,12 @@
 
 
 def _parse_states(body: bytes | bytearray) -> dict[str, EventState]:
-    """State by event id; unknown states are left out, and all of them when the body cannot be read."""
+    """Returns the states by event id, without unknown ones; empty if the body cannot be parsed."""
     try:
         return {
-            row["id"]: state
-            for row in json.loads(bytes(body))
-            if (state := _STATE_BY_WORD.get(row["state"])) is not None
+            entry["id"]: state
+            for entry in json.loads(bytes(body))
+            if (state := _STATE_BY_VALUE.get(entry["state"])) is not None
         }
     except PARSE_ERRORS:
         return {}
--- a/swiftthread/client/http_exchange.py
+++ b/swiftthread/client/http_exchange.py
@@ -1,8 +1,8 @@
 """One HTTP/1.1 request and its response, parsed by h11: for endpoints, discovery and notifications.
 
-A response may be malformed: no HTTP at all, without an end, with lengths that do not fit. It then raises
-`ConnectionClosed` as soon as that is known. What its first line said is kept, for a first line with 200 is
-true whatever follows it.
+A response may be malformed: it may not be HTTP, never end, or have a wrong length. Reading it raises
+`ConnectionClosed` as soon as this is known. The status of its first line is stored nevertheless, because a
+first line with 200 is valid whatever follows it.
 """
 
 from __future__ import annotations
@@ -15,19 +15,22 @@
 
 from swiftthread.network.connection import Connection, ConnectionClosed
 
-MAX_HEAD_BYTES = 32 * 1024  # first line and headers; no response of the specified protocols is near it
-MAX_BODY_BYTES = 64 * 1024  # the protocol's bound; a longer body, or one announced as longer, is malformed
-MAX_INTERIM_RESPONSES = 20  # responses of 1xx before the one that counts
-RESPONSE_COMPLETION_MS = 200.0  # from a response's first byte to its last: endpoints write it in one go
+MAX_HEAD_BYTES = 32 * 1024  # first line and headers; responses of the specified protocols are far smaller
+MAX_BODY_BYTES = (
+    64 * 1024
+)  # limit of the protocol; a body with more bytes or a larger Content-Length is malformed
+MAX_INTERIM_RESPONSES = 20  # responses with a status of 1xx before the final response
+# Limit from the first byte of a response to its last; it is short because endpoints write a response at once.
+RESPONSE_COMPLETION_MS = 200.0
 
-# What reading somebody else's JSON can raise.
+# The exceptions that reading values from JSON of another program can raise.
 PARSE_ERRORS = (KeyError, ValueError, TypeError, AttributeError, OverflowError, RecursionError)
 
 _FIRST_LINE = re.compile(rb"HTTP/1\.[01] ([2-9]\d\d)(?: [^\r\n]*)?\r?\n")
 
 
 class HttpRequest(NamedTuple):
-    """A request, as it is handed to the parser."""
+    """A request as the parser encodes it."""
 
     method: str
     target: str
@@ -36,23 +39,23 @@
 
 
 def client_parser() -> h11.Connection:
-    """A client-side HTTP/1.1 parser for one connection."""
+    """Returns a client-side HTTP/1.1 parser for one connection."""
     return h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
 
 class HttpResponse:
-    """A response, filled in as its bytes come.
+    """A response, filled in as its bytes arrive.
 
     Attributes:
         status: Status code; None until the headers are complete.
         headers: Header values by lower-case name.
-        body: What has come of the body.
-        first_line_status: Status code of the first line, also when the rest cannot be read.
-        interim_count: Responses of 1xx that came before it.
-        has_begun: Whether any byte of it has come.
-        is_complete: Whether all of it has come.
-        has_trailing_bytes: Whether bytes followed that are no further response, so that its length may be
-            wrong.
+        body: The part of the body that has arrived.
+        first_line_status: Status code of the first line, set even if the rest cannot be parsed.
+        interim_count: How many responses with a status of 1xx came before it.
+        has_begun: Whether any byte of it has arrived.
+        is_complete: Whether all of it has arrived.
+        has_trailing_bytes: Whether bytes follow it that do not start another response, which means that its
+            length may be wrong.
     """
 
     __slots__ = (
@@ -77,10 +80,10 @@
         self.has_trailing_bytes = False
 
     def feed_from(self, connection: Connection) -> bool:
-        """Take in what the connection's parser holds; whether the response is complete.
+        """Read the bytes that the connection's parser has received; return whether the response is complete.
 
         Raises:
-            ConnectionClosed: The bytes are no response, or it ends too early.
+            ConnectionClosed: The bytes are not an HTTP response, or the response is truncated or too long.
         """
         parser = connection.parser
         try:
@@ -92,7 +95,7 @@
                 if part is h11.NEED_DATA:
                     self.has_begun = self.status is not None or parser.trailing_data[0] != b""
                     return False
-                self._take(part)
+                self._handle_part(part)
         except h11.RemoteProtocolError:
             self.has_begun = True
             raise ConnectionClosed(True) from None
@@ -100,7 +103,7 @@
         self.has_trailing_bytes = trailing_bytes != b"" and not _FIRST_LINE.match(trailing_bytes)
         return True
 
-    def _take(self, part: object) -> None:
+    def _handle_part(self, part: object) -> None:
         if isinstance(part, h11.Response):
             self.status = part.status_code
             self.headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in part.headers}
@@ -120,9 +123,9 @@
             raise ConnectionClosed(True)
 
     def allows_reuse(self, connection: Connection) -> bool:
-        """Make the connection ready for another request; False if none may follow on it.
+        """Prepare the connection for another request; return False if it cannot be reused.
 
-        One may follow when the response is complete and nothing came beside it.
+        It can be reused if the response is complete and no other bytes followed it.
         """
         parser = connection.parser
         if (
@@ -137,7 +140,7 @@
 
 
 def encode_request(connection: Connection, request: HttpRequest) -> list[bytes]:
-    """The bytes of a request, in parts; the connection's parser notes that it is sent."""
+    """Returns the bytes of a request, in parts, and marks it as sent in the connection's parser."""
     parser = connection.parser
     headers = request.headers
     if request.body or request.method == "POST":
@@ -152,7 +155,7 @@
 async def exchange(
     connection: Connection, request: HttpRequest, response: HttpResponse, deadline_scope: anyio.CancelScope
 ) -> None:
-    """Write a request and read the whole response; see `receive` for the scope."""
+    """Write a request and read the whole response; see `receive` for `deadline_scope`."""
     await connection.write(*encode_request(connection, request))
     await receive(connection, response, deadline_scope)
 
@@ -161,15 +164,15 @@
     """Read the whole response.
 
     Args:
-        connection: Where it comes from.
-        response: What is filled in.
-        deadline_scope: The cancel scope that ends the wait. While a response has begun and is not complete
-            its deadline is at most RESPONSE_COMPLETION_MS away.
+        connection: The connection to read from.
+        response: The response to fill in.
+        deadline_scope: The cancel scope that ends the wait. While the response has begun and is not
+            complete, its deadline is at most RESPONSE_COMPLETION_MS after the begin.
     """
     full_deadline = deadline_scope.deadline
     had_begun = False
     while not response.feed_from(connection):
-        if response.has_begun != had_begun:  # back to False after a response of 1xx
+        if response.has_begun != had_begun:  # False again after a response with a status of 1xx
             had_begun = response.has_begun
             deadline_scope.deadline = (
                 min(full_deadline, anyio.current_time() + RESPONSE_COMPLETION_MS / 1000.0)
--- a/swiftthread/client/json_stream.py
+++ b/swiftthread/client/json_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects out of a response body that does not end: lines first, then objects out of lines."""
+"""A stream of JSON objects in a response body that does not end: its lines, and the objects in them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from swiftthread.network.connection import Connection, ConnectionClosed
 
-MAX_OBJECT_BYTES = 4 * 1024 * 1024  # far over the endpoint list of any fleet within the specified limits
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # far more than the endpoint list of any fleet within the specified limits
 
 
 class MalformedJsonStream(ValueError):
@@ -17,7 +17,7 @@
 
 
 class BodyLineReader:
-    """The lines of a response's body, as they come."""
+    """Reads the lines of a response's body as they arrive."""
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
@@ -25,10 +25,12 @@
         self.incomplete_line = bytearray()
 
     async def read_line(self) -> bytes | None:
-        """The next whole line, without its end; None at the end of the body, or for a status other than 200.
+        """Returns the next whole line, without its line end.
+
+        It is None at the end of the body, or if the status of the response is not 200.
 
         Raises:
-            ConnectionClosed: The connection ended, or this is no HTTP.
+            ConnectionClosed: The connection was closed, or the bytes are not HTTP.
             MalformedJsonStream: The line is longer than MAX_OBJECT_BYTES.
         """
         while not self.lines:
@@ -41,7 +43,9 @@
                 self.incomplete_line.clear()
             self.incomplete_line += remainder
             if len(self.incomplete_line) > MAX_OBJECT_BYTES:
-                raise MalformedJsonStream(f"a line is longer than {MAX_OBJECT_BYTES} bytes")
+                raise MalformedJsonStream(
+                    f"a line of the JSON stream is longer than {MAX_OBJECT_BYTES} bytes"
+                )
         return self.lines.popleft()
 
     async def _read_data(self) -> bytes | None:
@@ -59,39 +63,39 @@
 
 
 class JsonAssembler:
-    """JSON objects out of lines: one object a line, or indented over several."""
+    """Assembles JSON objects from lines: an object takes one line, or several if it is indented."""
 
     def __init__(self) -> None:
         self.text = bytearray()
 
     @property
     def has_begun(self) -> bool:
-        """Whether an object has begun that is not complete yet."""
+        """Whether an object has begun and is not complete yet."""
         return bool(self.text)
 
     def add(self, line: bytes) -> dict[str, object] | None:
-        """The object that ends with this line; None when none does.
+        """Add a line; return the object that ends with it, or None if no object does.
 
         Raises:
-            MalformedJsonStream: The lines so far can become no object.
-            json.JSONDecodeError: Likewise, found by the JSON parser.
+            MalformedJsonStream: The lines so far cannot be the beginning of an object.
+            json.JSONDecodeError: The same, detected by the JSON parser.
         """
         if not line.strip():
             if self.text:
-                raise MalformedJsonStream("an object breaks off")
+                raise MalformedJsonStream("an empty line inside a JSON object")
             return None
         if not (self.text or line.lstrip().startswith(b"{")):
-            raise MalformedJsonStream("a line begins no object")
+            raise MalformedJsonStream("a line outside a JSON object does not begin one")
         self.text += line + b"\n"
         if len(self.text) > MAX_OBJECT_BYTES:
-            raise MalformedJsonStream(f"an object is longer than {MAX_OBJECT_BYTES} bytes")
+            raise MalformedJsonStream(f"a JSON object is longer than {MAX_OBJECT_BYTES} bytes")
         if not line.rstrip().endswith(b"}"):
-            return None  # no object ends here
+            return None  # no object ends with this line
         try:
-            page: dict[str, object] = json.loads(self.text)
+            decoded: dict[str, object] = json.loads(self.text)
         except json.JSONDecodeError as error:
             if error.pos < len(error.doc.rstrip()):
-                raise  # more lines would not help
+                raise  # the error is before the end of the text: more lines cannot complete the object
             return None
         self.text.clear()
-        return page
+        return decoded
--- a/swiftthread/client/result_notifier.py
+++ b/swiftthread/client/result_notifier.py
@@ -1,4 +1,7 @@
-"""Notifications of results: a line for each event that ends undelivered, repeated until answered 204."""
+"""Notifications of the final outcomes of undelivered events, posted again until they are acknowledged.
+
+A notification is one line of JSON; the status 204 acknowledges all lines of a request.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 if TYPE_CHECKING:
     from swiftthread.storage.decision import Decision
 
-MAX_LINES_PER_REQUEST = 200  # well inside 64 KiB
+MAX_LINES_PER_REQUEST = 200  # keeps a request well below 64 KiB
 STATUS_ACKNOWLEDGED = 204
 
 
@@ -30,7 +33,7 @@
 
 
 class ResultNotifier:
-    """Posts notifications to discovery's address, over one connection that it keeps."""
+    """Posts notifications to discovery's address over one connection, which is reused."""
 
     def __init__(
         self,
@@ -43,30 +46,34 @@
         self.buffers = buffers
         self.response_timeout_ms = response_timeout_ms
         self.retry_pause_ms = retry_pause_ms
-        self.pending: dict[str, PendingNotification] = {}  # by event id; emptied as they are acknowledged
+        self.pending: dict[str, PendingNotification] = {}  # by event id, until acknowledged
         self.has_pending = anyio.Event()
         self.post_scope = anyio.CancelScope()
         self.connection: Connection | None = None
         self.connected_to: tuple[str, int] | None = None
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Discovery has moved: what is not acknowledged yet is posted there, maybe for a second time."""
+        """Set the address after discovery has moved.
+
+        Notifications that are not acknowledged yet are posted to the new address, possibly for the second
+        time.
+        """
         if address != self.address:
             self.address = address
             self.post_scope.cancel()
 
     async def notify(self, event_id: str, decision: Decision) -> None:
-        """Return once the notification is acknowledged."""
-        row: dict[str, object] = {"message": event_id, "outcome": decision.outcome}
+        """Notify of the final outcome of an event; return once the notification is acknowledged."""
+        fields: dict[str, object] = {"message": event_id, "outcome": decision.outcome}
         if decision.retry_after_ms:
-            row["retry_in_ms"] = round(decision.retry_after_ms)
-        notification = PendingNotification(json.dumps(row))
+            fields["retry_in_ms"] = round(decision.retry_after_ms)
+        notification = PendingNotification(json.dumps(fields))
         self.pending[event_id] = notification
         self.has_pending.set()
         await notification.acknowledged.wait()
 
     async def run(self) -> None:
-        """Post what is pending, several notifications in one request, until cancelled."""
+        """Post pending notifications, up to MAX_LINES_PER_REQUEST in one request, until cancelled."""
         try:
             while True:
                 if not self.pending:
@@ -80,7 +87,7 @@
                 else:
                     host, port = self.address
                     logger.warning(
-                        "discovery {}:{}: notifications are not acknowledged, {} are pending",
+                        "discovery {}:{}: notifications are not acknowledged; {} wait to be posted again",
                         host,
                         port,
                         len(self.pending),
@@ -90,7 +97,7 @@
             self._close()
 
     async def _post(self, batch: Collection[PendingNotification]) -> bool:
-        """Post notifications; whether they are acknowledged."""
+        """Post notifications and return whether they are acknowledged."""
         body = "".join(notification.line + "\n" for notification in batch).encode()
         request = HttpRequest("POST", "/status", [("Host", "discovery")], body)
         response = HttpResponse()
@@ -104,8 +111,8 @@
                 await exchange(self.connection, request, response, self.post_scope)
         except ConnectionClosed:
             pass
-        except Exception:  # guards the node: they are posted again, on another connection
-            logger.exception("discovery {}:{}: notifications failed", *address)
+        except Exception:  # keeps the node running: they are posted again on another connection
+            logger.exception("discovery {}:{}: notifications failed; they are posted again", *address)
             response = HttpResponse()
         if self.connection is not None and not response.allows_reuse(self.connection):
             self._close()
--- a/swiftthread/client/send_result.py
+++ b/swiftthread/client/send_result.py
@@ -1,4 +1,4 @@
-"""The result of one send to an endpoint, as the endpoint client hands it back."""
+"""The result of one send to an endpoint, as the endpoint client returns it."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True)
 class SendResult:
-    """How a send, or a health check, ended."""
+    """The result of a send or of a health check."""
 
     outcome: SendOutcome
     latency_ms: float
     retry_after_ms: float = 0.0
-    """How long the endpoint asked not to be called; 0 when it named no time."""
+    """How long the endpoint asked not to be called, from its Retry-After header; 0 without one."""
     is_finished: bool = False
-    """Whether the event needs no further attempt, by anyone."""
+    """Whether the event needs no further attempt, neither by this node nor by its client."""
     load_report: LoadReport | None = None
--- a/tests/client/test_discovery_watch.py
+++ b/tests/client/test_discovery_watch.py
@@ -8,7 +8,7 @@
 from support.node_process import NodeProcess, wait_until
 from support.simulated_node import SimulatedNode
 
-from swiftthread.client.discovery_client import MAX_UNREADABLE_IN_A_ROW, DiscoveryClient
+from swiftthread.client.discovery_client import MAX_CONSECUTIVE_UNREADABLE_LISTS, DiscoveryClient
 from swiftthread.network.buffer_pool import BufferPool
 from swiftthread.service import limits
 
@@ -31,7 +31,7 @@
     with NodeProcess(tmp_path, endpoint, known=False) as node:
         node.discovery.page = {"version": 1, "full": True, "servers": [endpoint.entry(), {"id": "s-9"}]}
         node.discovery.drop_watches()
-        wait_until(lambda: len(node.discovery.watches) >= MAX_UNREADABLE_IN_A_ROW + 1)
+        wait_until(lambda: len(node.discovery.watches) >= MAX_CONSECUTIVE_UNREADABLE_LISTS + 1)
         asked = len(node.discovery.targets)
         node.discovery.send_change(endpoint.entry())
         assert node.submit() == 202
--- a/tests/client/test_endpoint_list.py
+++ b/tests/client/test_endpoint_list.py
@@ -22,7 +22,7 @@
 def endpoint_list():
     """An endpoint list that has read PAGE."""
     endpoint_list = EndpointList({"plain": 0}, {"east": 0, "west": 1})
-    endpoint_list.apply_page(PAGE)
+    endpoint_list.apply_document(PAGE)
     return endpoint_list
 
 
@@ -40,7 +40,7 @@
 )
 def test_a_page_that_is_no_list_changes_nothing(endpoint_list, page):
     with pytest.raises(MalformedEndpointList):
-        endpoint_list.apply_page(page)
+        endpoint_list.apply_document(page)
     assert endpoint_list.version == 3 and set(endpoint_list.addresses) == {"s-1", "s-2"}
 
 
@@ -49,10 +49,10 @@
     "wrong", [{"addr": "nowhere"}, {"cell": None}, {"weight": "much"}, {"state": None, "addr": 5}]
 )
 def test_a_known_endpoint_whose_entry_cannot_be_read_gets_nothing_new(endpoint_list, full, wrong):
-    update = endpoint_list.apply_page(
+    update = endpoint_list.apply_document(
         {"version": 4, "full": full, "servers": [ROW | wrong, 7, {"id": 5}]},
     )
-    first_update = EndpointList({"plain": 0}, {"east": 0, "west": 1}).apply_page(PAGE)
+    first_update = EndpointList({"plain": 0}, {"east": 0, "west": 1}).apply_document(PAGE)
     router = SimulatedNode([], stream_types=[]).session.router
     router.apply_endpoint_list(*first_update, 0.0)
     router.endpoints["s-1"].last_outcome_at = 0.5
@@ -60,7 +60,7 @@
     assert not router.endpoints["s-1"].is_ready and router.endpoints["s-1"].zone == 0
     remaining = [endpoint.endpoint_id for endpoint in router.destinations[0].endpoints]
     assert remaining == ([] if full else ["s-2"])
-    assert endpoint_list.unreadable_in_a_row == 1
+    assert endpoint_list.consecutive_unreadable_lists == 1
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
     lines = []
     sink = logger.add(lines.append, level="WARNING", format="{message}")
     try:
-        endpoint_list.apply_page({"version": 4, "servers": [row]})
+        endpoint_list.apply_document({"version": 4, "servers": [row]})
     finally:
         logger.remove(sink)
-    assert any(f"an entry cannot be read ({reason}" in line for line in lines)
+    assert any(f"an entry of the list cannot be parsed ({reason}" in line for line in lines)
