--- a/swiftthread/simulator/__init__.py
+++ b/swiftthread/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter between the router and the simulator's binary protocol. Nothing is decided here."""
+"""Adapter between the router and the simulator's binary protocol. All decisions are the router's."""
--- a/swiftthread/simulator/__main__.py
+++ b/swiftthread/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Serve the simulator's protocol on standard input and output until the input ends."""
+"""Serves the simulator's protocol on standard input and output until the input ends."""
 
 import sys
 
@@ -11,16 +11,16 @@
 
 
 def main() -> int:
-    """Answer the simulator's frames until it closes our input; returns the process's exit code."""
+    """Reply to the simulator's frames until it closes the input; return the exit code of the process."""
     host = SessionHost()
-    source = sys.stdin.buffer
-    destination = sys.stdout.buffer
+    input_stream = sys.stdin.buffer
+    output_stream = sys.stdout.buffer
     try:
-        while (frame := read_frame(source)) is not None:
+        while (frame := read_frame(input_stream)) is not None:
             reply = ReplyWriter(frame.batch_number)
             host.handle_frame(frame, reply)
-            destination.write(reply.encode())
-            destination.flush()
+            output_stream.write(reply.encode())
+            output_stream.flush()
     except ProtocolError as error:
         print(f"swiftthread.simulator: {error}", file=sys.stderr)
         return EXIT_MALFORMED_INPUT
--- a/swiftthread/simulator/codec.py
+++ b/swiftthread/simulator/codec.py
@@ -1,7 +1,7 @@
-"""Binary frames of the simulator's protocol: records read as messages, commands written as bytes.
+"""Codec of the simulator's binary protocol: it decodes records as messages and encodes commands.
 
-A frame from the simulator is a header, records of a fixed size and a tail of variable parts; a reply is a
-header, commands of a fixed size and a tail. All numbers are little-endian.
+A frame from the simulator has a header, records of a fixed size, and a tail for data of variable size. A
+reply has a header, commands of a fixed size, and a tail. All numbers are little-endian.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 REPLY_HEADER = struct.Struct("<III")
 """Batch number, size of the reply in bytes, number of commands."""
 RECORD_SIZE = 48
-"""Bytes of a record, its code among them."""
+"""Size of a record in bytes, including its code."""
 COMMAND_SIZE = 24
-"""Bytes of a command, its code among them."""
+"""Size of a command in bytes, including its code."""
 LIST_ENTRY = struct.Struct("<BBfHIdB")
-"""Kind, zone, listed rate, destination, endpoint, start in seconds, phase."""
+"""Kind, zone, listed rate, destination, endpoint, start time in seconds, phase."""
 
 RECORD_LAYOUTS: dict[int, tuple[struct.Struct, type[Message]]] = {
     RecordCode.START_INSTANCE: (struct.Struct("<HQII"), messages.StartInstance),
@@ -46,16 +46,19 @@
     RecordCode.LIST_ENTRIES: (struct.Struct("<BII"), messages.ListEntries),
     RecordCode.STOP_INSTANCE: (struct.Struct("<H"), messages.StopInstance),
 }
-"""Fields of a record after its code, and the message that they are read as."""
+"""Layout of the fields after the code of a record, and the message type that they are decoded as."""
 DECODERS = {
     int(code): (layout.unpack_from, message_type._make)
     for code, (layout, message_type) in RECORD_LAYOUTS.items()
 }
-"""What decodes a record: looked up once, for every record of every batch needs it."""
+"""The functions that decode a record, by code.
+
+They are looked up once at import, because every record of every batch needs them.
+"""
 
 ENDPOINT_PHASES = frozenset(EndpointPhase)
 
-# Each packs a command from the fields after its code.
+# Each function packs a command from the fields that follow its code.
 pack_send = partial(struct.Struct("<BHIId5x").pack, CommandCode.SEND)
 pack_reject = partial(struct.Struct("<BHId9x").pack, CommandCode.REJECT)
 pack_abandon = partial(struct.Struct("<BHI17x").pack, CommandCode.ABANDON)
@@ -76,22 +79,28 @@
     tail: memoryview
 
     def read_messages(self) -> Iterator[Message]:
-        """Read the records in order; ProtocolError at the first whose code is unknown."""
+        """Yield the records in order, as messages.
+
+        Raises:
+            ProtocolError: The code of a record is unknown.
+        """
         records = self.records
-        for position in range(self.record_count):
-            offset = position * RECORD_SIZE
+        for index in range(self.record_count):
+            offset = index * RECORD_SIZE
             code = records[offset]
             decoder = DECODERS.get(code)
             if decoder is None:
-                raise ProtocolError(
-                    f"batch {self.batch_number}, record {position}: unknown event code {code}"
-                )
+                raise ProtocolError(f"batch {self.batch_number}, record {index}: unknown record code {code}")
             unpack_from, make_message = decoder
             yield make_message(unpack_from(records, offset + 1))
 
 
 def read_frame(stream: BinaryIO) -> Frame | None:
-    """Read the next frame; None at the end of input, ProtocolError where the input ends within a frame."""
+    """Read the next frame; return None at the end of the input.
+
+    Raises:
+        ProtocolError: The input ends inside a frame, or the frame is too small for its records.
+    """
     header = stream.read(FRAME_HEADER.size)
     if not header:
         return None
@@ -112,17 +121,27 @@
 
 
 def read_tail(tail: memoryview, offset: int, length: int) -> memoryview:
-    """Return a part of a frame's tail; ProtocolError when it lies outside."""
+    """Return a slice of a frame's tail.
+
+    Raises:
+        ProtocolError: The slice is not inside the tail.
+    """
     if offset + length > len(tail):
-        raise ProtocolError(f"the tail has {len(tail)} bytes, but {offset}+{length} are named")
+        raise ProtocolError(f"the tail has {len(tail)} bytes, but a record refers to {offset}+{length}")
     return tail[offset : offset + length]
 
 
 def read_list_entries(tail: memoryview, offset: int, count: int) -> list[EndpointEntry]:
-    """Read the entries of an endpoint list; ProtocolError when the phase of one is unknown."""
+    """Read the entries of an endpoint list from a frame's tail.
+
+    Raises:
+        ProtocolError: The phase of an entry is unknown, or the entries are not inside the tail.
+    """
     entries = []
-    part = read_tail(tail, offset, count * LIST_ENTRY.size)
-    for kind, zone, listed_rate, destination, endpoint, _started_s, phase in LIST_ENTRY.iter_unpack(part):
+    encoded_entries = read_tail(tail, offset, count * LIST_ENTRY.size)
+    for kind, zone, listed_rate, destination, endpoint, _started_s, phase in LIST_ENTRY.iter_unpack(
+        encoded_entries
+    ):
         if phase not in ENDPOINT_PHASES:
             raise ProtocolError(f"list entry for endpoint {endpoint}: unknown phase {phase}")
         is_ready = phase == EndpointPhase.READY
@@ -131,7 +150,11 @@
 
 
 def read_outcome(code: int) -> SendOutcome:
-    """Return the outcome of an attempt or health check; ProtocolError when its code is unknown."""
+    """Return the outcome of an attempt or of a health check.
+
+    Raises:
+        ProtocolError: The outcome code is unknown.
+    """
     outcome = OUTCOMES_BY_CODE.get(code)
     if outcome is None:
         raise ProtocolError(f"unknown outcome code {code}")
@@ -139,24 +162,24 @@
 
 
 def read_load_report(field_names: Sequence[str], values: Sequence[float]) -> LoadReport | None:
-    """Read a load report by the names of its fields; None when there was none."""
+    """Read a load report from its field names and their values; None if there are no values."""
     return LoadReport.from_fields(dict(zip(field_names, values, strict=False)))
 
 
 class CommandWriter(Protocol):
-    """Receiver of the commands of a session."""
+    """Receives the commands of a session."""
 
     def send(self, instance: int, ticket: int, endpoint: int | str, timeout_ms: float) -> None:
-        """Send an event to an endpoint, and wait for its answer so long."""
+        """Send an event to an endpoint and wait at most `timeout_ms` for its response."""
 
     def reject(self, instance: int, ticket: int, retry_after_ms: float) -> None:
-        """Return an event undelivered; its client may retry, best after `retry_after_ms` (0: no advice)."""
+        """Reject an event; its client may resubmit it, preferably after `retry_after_ms` (0: no advice)."""
 
     def abandon(self, instance: int, ticket: int) -> None:
-        """End an event of which it is unknown whether it had an effect."""
+        """Abandon an event: whether it had an effect is unknown."""
 
     def schedule_wakeup(self, instance: int, delay_ms: float, label: int) -> None:
-        """Wake the instance after a delay."""
+        """Wake the instance up after a delay."""
 
     def check_health(self, instance: int, endpoint: int | str) -> None:
         """Check the health of an endpoint."""
@@ -165,11 +188,11 @@
         """Close the idle connections to an endpoint."""
 
     def watch_endpoint_list(self, instance: int) -> None:
-        """Ask for the endpoint list, and for its changes."""
+        """Request the endpoint list and its later changes."""
 
 
 class ReplyWriter:
-    """Collects the commands of one batch, and encodes them as one reply."""
+    """Collects the commands of one batch and encodes them as one reply."""
 
     def __init__(self, batch_number: int) -> None:
         self.batch_number = batch_number
@@ -177,19 +200,19 @@
         self._tail = bytearray()
 
     def send(self, instance: int, ticket: int, endpoint: int | str, timeout_ms: float) -> None:
-        """Send an event to an endpoint, and wait for its answer so long."""
+        """Send an event to an endpoint and wait at most `timeout_ms` for its response."""
         self._commands.append(pack_send(instance, ticket, endpoint, timeout_ms / 1000.0))
 
     def reject(self, instance: int, ticket: int, retry_after_ms: float) -> None:
-        """Return an event undelivered; its client may retry, best after `retry_after_ms` (0: no advice)."""
+        """Reject an event; its client may resubmit it, preferably after `retry_after_ms` (0: no advice)."""
         self._commands.append(pack_reject(instance, ticket, retry_after_ms / 1000.0))
 
     def abandon(self, instance: int, ticket: int) -> None:
-        """End an event of which it is unknown whether it had an effect."""
+        """Abandon an event: whether it had an effect is unknown."""
         self._commands.append(pack_abandon(instance, ticket))
 
     def schedule_wakeup(self, instance: int, delay_ms: float, label: int) -> None:
-        """Wake the instance after a delay."""
+        """Wake the instance up after a delay."""
         self._commands.append(pack_schedule_wakeup(instance, delay_ms / 1000.0, label))
 
     def check_health(self, instance: int, endpoint: int | str) -> None:
@@ -201,16 +224,16 @@
         self._commands.append(pack_close_idle(instance, endpoint))
 
     def report_fault(self, instance: int, text: str) -> None:
-        """Tell the simulator that the instance failed."""
+        """Report to the simulator that the instance failed."""
         encoded = text.encode()
         self._commands.append(pack_report_fault(instance, len(self._tail), len(encoded)))
         self._tail += encoded
 
     def watch_endpoint_list(self, instance: int) -> None:
-        """Ask for the endpoint list, and for its changes."""
+        """Request the endpoint list and its later changes."""
         self._commands.append(pack_watch_endpoint_list(instance, 1))
 
     def encode(self) -> bytes:
-        """Return the reply's bytes."""
+        """Return the encoded reply."""
         body = b"".join(self._commands) + bytes(self._tail)
         return REPLY_HEADER.pack(self.batch_number, REPLY_HEADER.size + len(body), len(self._commands)) + body
--- a/swiftthread/simulator/errors.py
+++ b/swiftthread/simulator/errors.py
@@ -2,4 +2,4 @@
 
 
 class ProtocolError(Exception):
-    """A frame that the protocol does not allow; the text says where and why."""
+    """A frame violates the protocol. The text says which batch and record, and why."""
--- a/swiftthread/simulator/messages.py
+++ b/swiftthread/simulator/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the simulator's protocol: its codes, and one type for each record that the simulator sends.
+"""Messages of the simulator's protocol: its codes, and a type for each record that the simulator sends.
 
-Durations carry their unit in the name. `offset` and `length` of a message name a part of the frame's tail, in
-bytes.
+Durations have their unit in the name. `offset` and `length` of a message give the position and size of its
+data in the frame's tail, in bytes.
 """
 
 from __future__ import annotations
@@ -42,19 +42,19 @@
 
 
 class ListForm(IntEnum):
-    """What an `EndpointList` says about the list that it names."""
+    """How an `EndpointList` message uses its list: as the full list, as changes, or not at all."""
 
     FULL = 0
     DELTA = 2
     REQUEST_FAILED = 3
     FULL_ALTERNATE = 4
-    """Read as `FULL`."""
+    """Treated like `FULL`."""
 
 
 class EndpointPhase(IntEnum):
-    """State of an endpoint in a list."""
+    """Phase of an endpoint in an endpoint list."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 2
     DRAINING = 3
 
@@ -72,7 +72,7 @@
 
 
 class StartInstance(NamedTuple):
-    """An instance starts; the tail part holds its settings document."""
+    """An instance starts; the frame's tail has its settings document."""
 
     instance: int
     seed: int
@@ -81,13 +81,13 @@
 
 
 class StopInstance(NamedTuple):
-    """An instance ends, with all that it holds."""
+    """An instance stops and loses all its state."""
 
     instance: int
 
 
 class ListEntries(NamedTuple):
-    """Entries of an endpoint list, kept under a number for the `EndpointList` messages that follow."""
+    """Entries of an endpoint list, stored by list number for later `EndpointList` messages."""
 
     list_number: int
     offset: int
@@ -95,11 +95,11 @@
 
 
 class EndpointList(NamedTuple):
-    """An instance receives a numbered list, or hears that its request for one failed."""
+    """An instance receives the list with a number, or learns that its request for a list failed."""
 
     instance: int
     form: int
-    """A `ListForm`, if it is known."""
+    """A value of `ListForm`; unknown ones are rejected when the message is handled."""
     version: int
     list_number: int
 
@@ -119,14 +119,14 @@
 
 
 class WithdrawEvent(NamedTuple):
-    """A client no longer waits for its event."""
+    """A client no longer waits for the outcome of its event."""
 
     instance: int
     ticket: int
 
 
 class AttemptResult(NamedTuple):
-    """An attempt ended."""
+    """An attempt has ended."""
 
     instance: int
     ticket: int
@@ -144,12 +144,12 @@
 
     @property
     def report_values(self) -> tuple[float, ...]:
-        """Values of the load report that came with the answer; none without a report."""
+        """Values of the load report in the response; empty if it has no load report."""
         return (self.report_0, self.report_1, self.report_2, self.report_3)[: self.report_length]
 
 
 class HealthCheckResult(NamedTuple):
-    """A health check ended."""
+    """A health check has ended."""
 
     instance: int
     endpoint: int
@@ -163,24 +163,24 @@
 
     @property
     def report_values(self) -> tuple[float, ...]:
-        """Values of the load report that came with the answer; none without a report."""
+        """Values of the load report in the response; empty if it has no load report."""
         return (self.report_0, self.report_1, self.report_2, self.report_3)[: self.report_length]
 
 
 class Wakeup(NamedTuple):
-    """A timer of an instance, set by `schedule_wakeup`, ran out."""
+    """A timer of an instance, set by `schedule_wakeup`, has expired."""
 
     instance: int
 
 
 class StreamOpened(NamedTuple):
-    """A stream of an instance was opened. Only the instance is read."""
+    """A stream of an instance was opened. Only the `instance` field is decoded."""
 
     instance: int
 
 
 class PeerMessage(NamedTuple):
-    """Another instance sent a message. Only the receiving instance is read."""
+    """Another instance sent a message. Only the field of the receiving instance is decoded."""
 
     instance: int
 
--- a/swiftthread/simulator/session_host.py
+++ b/swiftthread/simulator/session_host.py
@@ -1,4 +1,4 @@
-"""All instances of one process. They share nothing but the endpoint lists that the simulator numbers."""
+"""Hosts all instances of one process. They share only the numbered endpoint lists from the simulator."""
 
 from __future__ import annotations
 
@@ -34,35 +34,39 @@
 
 
 class SessionHost:
-    """Sessions by the number of their instance."""
+    """Passes the records of a frame to the sessions of their instances.
+
+    Attributes:
+        sessions: Sessions of the running instances, by instance number.
+        endpoint_lists: Endpoint lists by list number, which is one byte; a later list with the same number
+            replaces the earlier one.
+    """
 
     def __init__(self) -> None:
-        # Emptied as instances stop.
         self.sessions: dict[int, Session] = {}
-        # By list number, which is one byte; replaced by the next list of the number.
         self.endpoint_lists: dict[int, list[EndpointEntry]] = {}
 
     def handle_frame(self, frame: Frame, reply: ReplyWriter) -> None:
-        """Hand each record to its session, then let every session that had one decide.
+        """Pass each record to its session, then run a scheduling cycle of every session that had one.
 
         Raises:
-            ProtocolError: A record is malformed, or does not fit the state of its instance.
+            ProtocolError: A record is malformed, or is not allowed in the state of its instance.
         """
-        touched: dict[int, Session] = {}
-        for position, message in enumerate(frame.read_messages()):
+        sessions_to_run: dict[int, Session] = {}
+        for record_index, message in enumerate(frame.read_messages()):
             try:
                 session = HANDLERS[type(message)](self, message, frame, reply)
             except (ProtocolError, MalformedInput) as error:
-                raise ProtocolError(f"batch {frame.batch_number}, record {position}: {error}") from None
-            except Exception as error:  # the router failed: the protocol has a command for it
+                raise ProtocolError(f"batch {frame.batch_number}, record {record_index}: {error}") from None
+            except Exception as error:  # the router failed, which the protocol reports with a command
                 reply.report_fault(
                     message[0],
-                    f"batch {frame.batch_number}, record {position}: {type(error).__name__}: {error}",
+                    f"batch {frame.batch_number}, record {record_index}: {type(error).__name__}: {error}",
                 )
                 return
             if session is not None:
-                touched[session.number] = session
-        for session in touched.values():
+                sessions_to_run[session.number] = session
+        for session in sessions_to_run.values():
             if self.sessions.get(session.number) is not session:
                 continue
             try:
@@ -73,10 +77,10 @@
                 )
                 return
 
-    def _find(self, instance: int) -> Session:
+    def _find_session(self, instance: int) -> Session:
         session = self.sessions.get(instance)
         if session is None:
-            raise ProtocolError(f"an event for instance {instance}, which is not running")
+            raise ProtocolError(f"a record for instance {instance}, which is not running")
         return session
 
     def _start_instance(self, message: StartInstance, frame: Frame, _reply: ReplyWriter) -> Session:
@@ -88,7 +92,7 @@
         return session
 
     def _stop_instance(self, message: StopInstance, _frame: Frame, _reply: ReplyWriter) -> None:
-        self._find(message.instance)
+        self._find_session(message.instance)
         del self.sessions[message.instance]
 
     def _store_list(self, message: ListEntries, frame: Frame, _reply: ReplyWriter) -> None:
@@ -97,42 +101,42 @@
         )
 
     def _apply_list(self, message: EndpointList, frame: Frame, _reply: ReplyWriter) -> Session:
-        session = self._find(message.instance)
+        session = self._find_session(message.instance)
         if message.form == ListForm.REQUEST_FAILED:
             session.router.list_request_failed(frame.now_ms)
         elif message.form not in LIST_FORMS:
             raise ProtocolError(f"unknown list form {message.form}")
         elif message.list_number not in self.endpoint_lists:
-            raise ProtocolError(f"list {message.list_number} was never sent")
+            raise ProtocolError(f"the entries of list {message.list_number} were never sent")
         else:
             entries = self.endpoint_lists[message.list_number]
             session.apply_endpoint_list(entries, message.form != ListForm.DELTA, frame.now_ms)
         return session
 
     def _submit_event(self, message: SubmitEvent, frame: Frame, _reply: ReplyWriter) -> Session:
-        session = self._find(message.instance)
+        session = self._find_session(message.instance)
         session.submit(message, frame.now_ms)
         return session
 
     def _withdraw_event(self, message: WithdrawEvent, frame: Frame, _reply: ReplyWriter) -> Session:
-        session = self._find(message.instance)
+        session = self._find_session(message.instance)
         session.withdraw(message.ticket, frame.now_ms)
         return session
 
     def _record_attempt(self, message: AttemptResult, frame: Frame, reply: ReplyWriter) -> Session:
-        session = self._find(message.instance)
+        session = self._find_session(message.instance)
         session.record_attempt(message, frame.now_ms, reply)
         return session
 
     def _record_health_check(self, message: HealthCheckResult, frame: Frame, _reply: ReplyWriter) -> Session:
-        session = self._find(message.instance)
+        session = self._find_session(message.instance)
         session.record_health_check(message, frame.now_ms)
         return session
 
     def _wake(
         self, message: Wakeup | StreamOpened | PeerMessage, _frame: Frame, _reply: ReplyWriter
     ) -> Session:
-        return self._find(message.instance)
+        return self._find_session(message.instance)
 
 
 HANDLERS: dict[type[Message], Callable[..., Session | None]] = {
@@ -148,4 +152,7 @@
     StreamOpened: SessionHost._wake,
     PeerMessage: SessionHost._wake,
 }
-"""The handler of each message: it returns the session to settle after the batch, None where there is none."""
+"""The handler of each message type.
+
+It returns the session whose scheduling cycle is to run after the batch, or None.
+"""
--- a/swiftthread/simulator/sessions.py
+++ b/swiftthread/simulator/sessions.py
@@ -1,4 +1,4 @@
-"""One incarnation of an instance: its events in hand, and when it asks the router about them."""
+"""One incarnation of an instance: its pending events, and when the router decides on them."""
 
 from __future__ import annotations
 
@@ -16,41 +16,46 @@
 from swiftthread.simulator.messages import AttemptResult, HealthCheckResult, SubmitEvent
 
 CLOCK_TOLERANCE_MS = 1e-3
-"""Moments that differ by less are one: the simulator's clock is in seconds, a rounding apart from ours."""
+"""Times that differ by less count as equal: the simulator's clock is in seconds, so conversion rounds."""
 WAKEUP_LABEL = 1
-"""Label of every timer: the session has one at a time."""
+"""Label of all timers; one is enough, because a session has one timer at a time."""
 
-Answer = Send | Defer | Reject | Abandon
-"""What the router says about an event."""
+RoutingDecision = Send | Defer | Reject | Abandon
+"""The router's decision on an event."""
 
 
 class Session:
     """One incarnation of an instance.
 
-    Commands go to the `CommandWriter` that a call is given; moments are in ms of the simulator's clock.
+    Each method writes its commands to the `CommandWriter` that it is given. Times are in ms on the clock of
+    the simulator.
+
+    Attributes:
+        pending: Pending events by ticket, until their final outcome or withdrawal.
+        in_flight: Events with an attempt in flight, by ticket, until the result of the attempt.
+        waiting_for_result: Events to decide on again after any result, by ticket, until then.
+        to_decide: New events, to be decided on in the next cycle.
+        needs_recheck: Whether the next cycle decides on the events in `waiting_for_result`.
     """
 
     def __init__(self, number: int, seed: int, settings: Settings, report_fields: Sequence[str]) -> None:
         self.number = number
         self.report_fields = report_fields
         self.router = Router(settings, seed)
-        # By ticket; an event leaves with its final answer or its withdrawal.
         self.pending: dict[int, Event] = {}
-        # By ticket, events with an attempt out; emptied by the attempts' results.
         self.in_flight: dict[int, Event] = {}
-        # By ticket, events to decide again after any result; emptied when they are decided.
         self.waiting_for_result: dict[int, Event] = {}
         self.to_decide: list[Event] = []
         self.needs_recheck = False
-        # Heap of (moment, order of insertion, event); emptied as moments pass.
+        # Heap of (time, order of insertion, event); entries are removed once their time has come.
         self._scheduled: list[tuple[float, int, Event]] = []
-        # By ticket, the one entry of the heap that counts.
+        # The time of the valid heap entry of each event, by ticket; all its other entries are ignored.
         self._scheduled_at: dict[int, float] = {}
         self._insertion = count()
         self._wakeup_at: float | None = None
 
     def submit(self, message: SubmitEvent, now: float) -> None:
-        """Hold a new event, to be decided at the end of the batch."""
+        """Add a new event to the router; the cycle at the end of the batch decides on it."""
         if message.ticket in self.pending:
             raise ProtocolError(f"ticket {message.ticket} was submitted twice")
         event = self.router.add_event(
@@ -64,24 +69,24 @@
         self.add_pending(event, message.ticket)
 
     def add_pending(self, event: Event, ticket: int) -> None:
-        """Hold an event of the router under its ticket, to be decided at the end of the batch."""
+        """Store an event of the router by its ticket; the cycle at the end of the batch decides on it."""
         event.handle = ticket
         self.pending[ticket] = event
         self.to_decide.append(event)
 
     def withdraw(self, ticket: int, now: float) -> None:
-        """Forget an event; nothing happens when it has ended."""
+        """Withdraw an event; does nothing if it already has a final outcome."""
         event = self.pending.pop(ticket, None)
         if event is not None:
             self.router.withdraw(event, now)
             self.needs_recheck = True
 
     def record_attempt(self, result: AttemptResult, now: float, commands: CommandWriter) -> None:
-        """Hand the router the result of an attempt, and carry out what it says about the event."""
+        """Pass the result of an attempt to the router and carry out its decision on the event."""
         event = self.in_flight.pop(result.ticket, None)
         if event is None:
-            raise ProtocolError(f"an outcome for ticket {result.ticket}, which has no send out")
-        answer = self.router.record_outcome(
+            raise ProtocolError(f"a result for ticket {result.ticket}, which has no attempt in flight")
+        decision = self.router.record_outcome(
             event,
             read_outcome(result.outcome_code),
             now,
@@ -94,10 +99,10 @@
         if result.is_event_finished:
             self.pending.pop(result.ticket, None)
         if result.ticket in self.pending:
-            self.answer(event, answer, now, commands)
+            self.apply_decision(event, decision, now, commands)
 
     def record_health_check(self, result: HealthCheckResult, now: float) -> None:
-        """Hand the router the result of a health check."""
+        """Pass the result of a health check to the router."""
         self.router.record_health_check(
             result.endpoint,
             read_outcome(result.outcome_code),
@@ -108,21 +113,23 @@
         self.needs_recheck = True
 
     def apply_endpoint_list(self, entries: Sequence[EndpointEntry], is_full: bool, now: float) -> None:
-        """Hand the router an endpoint list, or the changes of one."""
+        """Pass a full endpoint list, or changes of it, to the router."""
         self.router.apply_endpoint_list(entries, is_full, now)
         self.needs_recheck = True
 
-    def answer(self, event: Event, answer: Answer | None, now: float, commands: CommandWriter) -> None:
-        """Carry out what the router says about an event in hand; None ends it as `Abandon` does."""
-        if isinstance(answer, Send):
+    def apply_decision(
+        self, event: Event, decision: RoutingDecision | None, now: float, commands: CommandWriter
+    ) -> None:
+        """Carry out the router's decision on a pending event; None has the same effect as `Abandon`."""
+        if isinstance(decision, Send):
             self.in_flight[event.handle] = event
-            commands.send(self.number, event.handle, answer.endpoint.endpoint_id, answer.timeout_ms)
-        elif isinstance(answer, Defer):
+            commands.send(self.number, event.handle, decision.endpoint.endpoint_id, decision.timeout_ms)
+        elif isinstance(decision, Defer):
             self._defer(event, now)
         else:
             del self.pending[event.handle]
-            if isinstance(answer, Reject):
-                commands.reject(self.number, event.handle, answer.retry_after_ms)
+            if isinstance(decision, Reject):
+                commands.reject(self.number, event.handle, decision.retry_after_ms)
             else:
                 commands.abandon(self.number, event.handle)
 
@@ -135,9 +142,9 @@
             self.waiting_for_result[event.handle] = event
 
     def run_cycle(self, now: float, commands: CommandWriter) -> None:
-        """Decide every event whose moment has come, then set the timer for the next."""
+        """Run a scheduling cycle: decide on every event that is due, then set the timer for the next one."""
         for event in self.router.sort_by_urgency(self._take_due_events(now), now):
-            self.answer(event, self.router.decide(event, now), now, commands)
+            self.apply_decision(event, self.router.decide(event, now), now, commands)
         for endpoint in self.router.endpoints_due_for_health_check(now):
             commands.check_health(self.number, endpoint.endpoint_id)
         for endpoint in self.router.endpoints_to_disconnect(now):
@@ -147,11 +154,14 @@
         self._schedule_wakeup(now, commands)
 
     def _take_due_events(self, now: float) -> list[Event]:
-        """Events to decide now: new ones, those whose moment has come, those that waited for a result."""
+        """Returns the events to decide on now, and removes them from the tables of waiting events.
+
+        They are the new events, those whose time has come, and after a result those that waited for one.
+        """
         due, self.to_decide = self.to_decide, []
         while self._scheduled and self._scheduled[0][0] <= now + CLOCK_TOLERANCE_MS:
-            moment, _, event = heapq.heappop(self._scheduled)
-            if self._scheduled_at.get(event.handle) == moment:
+            scheduled_at, _, event = heapq.heappop(self._scheduled)
+            if self._scheduled_at.get(event.handle) == scheduled_at:
                 del self._scheduled_at[event.handle]
                 due.append(event)
         if self.needs_recheck:
@@ -167,13 +177,13 @@
         return list(by_ticket.values())
 
     def _schedule_wakeup(self, now: float, commands: CommandWriter) -> None:
-        """Set a timer for the next moment, unless one is set that rings no later."""
+        """Set a timer for the next check, unless one is set that expires no later."""
         next_check_at = self._scheduled[0][0] if self._scheduled else math.inf
-        at = min(next_check_at, self.router.next_wakeup_at(now))
-        if at < math.inf and (
+        wakeup_at = min(next_check_at, self.router.next_wakeup_at(now))
+        if wakeup_at < math.inf and (
             self._wakeup_at is None
-            or at < self._wakeup_at - CLOCK_TOLERANCE_MS
+            or wakeup_at < self._wakeup_at - CLOCK_TOLERANCE_MS
             or self._wakeup_at <= now + CLOCK_TOLERANCE_MS
         ):
-            self._wakeup_at = at
-            commands.schedule_wakeup(self.number, max(0.0, at - now), WAKEUP_LABEL)
+            self._wakeup_at = wakeup_at
+            commands.schedule_wakeup(self.number, max(0.0, wakeup_at - now), WAKEUP_LABEL)
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -1,4 +1,4 @@
-"""The simulator's protocol: frames in, replies out, and one plain line for what is malformed."""
+"""The simulator's protocol: frames in, replies out, and one line on standard error for malformed input."""
 
 import json
 import struct
@@ -31,7 +31,8 @@
 INSTANCE = 3
 ENDPOINT = 99
 WAKEUP = struct.pack("<BHI", RecordCode.WAKEUP, INSTANCE, 1).ljust(RECORD_SIZE, b"\0")
-FIRST_UNREAD_COMMAND = CommandCode.SCHEDULE_WAKEUP
+# Commands with smaller codes are decisions on events; `read_replies` leaves out the others.
+FIRST_OTHER_COMMAND = CommandCode.SCHEDULE_WAKEUP
 
 
 def record(code, *fields):
@@ -45,7 +46,7 @@
 
 
 def start_frame(number=1, clock_s=5.0):
-    """A frame that starts an instance and gives it a list of one endpoint."""
+    """Returns a frame that starts an instance and sends it a list of one endpoint."""
     tail = SETTINGS + LIST_ENTRY.pack(0, 0, 4.0, 7, ENDPOINT, 0.0, EndpointPhase.READY)
     return frame(
         number,
@@ -69,26 +70,26 @@
 
 
 def run_simulator_adapter(data):
-    """Exit code, output and error output of the adapter for this input."""
-    done = subprocess.run(
+    """Returns the exit code, the output and the error output of the adapter for this input."""
+    completed = subprocess.run(
         [sys.executable, "-m", "swiftthread.simulator"], input=data, capture_output=True, timeout=30
     )
-    return done.returncode, done.stdout, done.stderr.decode()
+    return completed.returncode, completed.stdout, completed.stderr.decode()
 
 
 def read_replies(out):
-    """(batch number, [(code, instance, ticket)]) of each reply, its answers about events alone."""
+    """Returns (batch number, [(code, instance, ticket)]) of each reply, with its decisions on events only."""
     replies = []
     while out:
         number, size, command_count = REPLY_HEADER.unpack_from(out)
-        offsets = [REPLY_HEADER.size + COMMAND_SIZE * position for position in range(command_count)]
+        offsets = [REPLY_HEADER.size + COMMAND_SIZE * index for index in range(command_count)]
         commands = [struct.unpack_from("<BHI", out, offset) for offset in offsets]
-        replies.append((number, [command for command in commands if command[0] < FIRST_UNREAD_COMMAND]))
+        replies.append((number, [command for command in commands if command[0] < FIRST_OTHER_COMMAND]))
         out = out[size:]
     return replies
 
 
-def test_an_instance_stops_and_another_starts_under_its_number_in_one_batch():
+def test_an_instance_can_stop_and_another_start_with_its_number_in_one_batch():
     restart = start_frame()[FRAME_HEADER.size :]
     body = submission(42) + record(RecordCode.STOP_INSTANCE, INSTANCE) + restart
     stop_and_restart = FRAME_HEADER.pack(3, FRAME_HEADER.size + len(body), 5, 6.0) + body
@@ -110,19 +111,19 @@
 
 
 @pytest.mark.parametrize(
-    "data, said",
+    "data, error_text",
     [
         (start_frame()[:13], "input ends inside a batch header, after 13 bytes of 20"),
         (start_frame()[:-5], "batch 1: input ends after"),
         (FRAME_HEADER.pack(4, 30, 2, 1.0) + bytes(10), "batch 4: 30 bytes cannot hold 2 records"),
-        (frame(2, 1.0, [bytes([77]) + bytes(47)]), "batch 2, record 0: unknown event code 77"),
+        (frame(2, 1.0, [bytes([77]) + bytes(47)]), "batch 2, record 0: unknown record code 77"),
         (
             frame(2, 1.0, [submission(5)]),
-            "batch 2, record 0: an event for instance 3, which is not running",
+            "batch 2, record 0: a record for instance 3, which is not running",
         ),
         (
             start_frame() + frame(2, 6.0, [acked(8, 0)]),
-            "batch 2, record 0: an outcome for ticket 8, which has no send out",
+            "batch 2, record 0: a result for ticket 8, which has no attempt in flight",
         ),
         (
             frame(1, 1.0, [record(RecordCode.START_INSTANCE, INSTANCE, 1, 0, 4)], b"{x]}"),
@@ -131,12 +132,12 @@
         (frame(1, 1.0, [record(RecordCode.LIST_ENTRIES, 0, 0, 3)], b"short"), "the tail has 5 bytes"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data, said):
+def test_malformed_input_ends_the_process_with_one_error_line(data, error_text):
     code, _, err = run_simulator_adapter(data)
-    assert code == 2 and said in err and err.count("\n") == 1
+    assert code == 2 and error_text in err and err.count("\n") == 1
 
 
-def test_a_failure_of_the_router_is_the_fault_command():
+def test_an_exception_in_the_router_is_reported_with_the_fault_command():
     unknown_stream_type = submission(1, stream_type=9)
     code, out, _ = run_simulator_adapter(start_frame() + frame(2, 6.0, [unknown_stream_type]))
     assert code == 0 and b"IndexError" in out
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -83,7 +83,7 @@
         # Known to sockets alone; the simulator's protocol has no code for it.
         event = self.session.in_flight.pop(ticket)
         answer = self.session.router.record_outcome(event, outcome, self.now, delay)
-        self.session.answer(event, answer, self.now, self)
+        self.session.apply_decision(event, answer, self.now, self)
         self.session.needs_recheck = True
 
     def close_idle(self, _node, endpoint):
