--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,7 +1,8 @@
 """A small environment for one node: discovery, and a destination with two endpoints.
 
-It prints the calls and notifications that it receives. While it runs, a letter and Enter change how the
-endpoints answer: f makes them fail, w makes them answer 429 with a Retry-After, o makes them succeed.
+It prints the calls and notifications that it receives. While it runs, a letter followed by Enter changes how
+the endpoints respond: f makes them fail, w makes them respond 429 with a Retry-After header, and o makes them
+succeed.
 """
 
 import contextlib
@@ -18,12 +19,12 @@
 ENDPOINT_PORTS = (9101, 9102)
 DESTINATION = 7
 RETRY_AFTER_S = 2.0
-KEEP_ALIVE_PAUSE_S = 2.0
-"""Pause between the empty lines that keep a watch open."""
+KEEP_ALIVE_INTERVAL_S = 2.0
+"""Interval between the empty lines that keep a watch open."""
 
 
-class AnswerMode(StrEnum):
-    """How the endpoints answer; the values are what is typed to choose one."""
+class ResponseMode(StrEnum):
+    """How the endpoints respond. Each value is the letter that is typed to select the mode."""
 
     SUCCEED = "o"
     FAIL = "f"
@@ -31,18 +32,18 @@
 
 
 class EndpointServer(ThreadingHTTPServer):
-    """An endpoint's HTTP server, with the answer mode that its handlers read."""
+    """The HTTP server of an endpoint, with the response mode that its handlers use."""
 
-    answer_mode = AnswerMode.SUCCEED
+    response_mode = ResponseMode.SUCCEED
 
 
 class JsonHandler(BaseHTTPRequestHandler):
-    """Shared parts of the handlers."""
+    """Base class of the handlers."""
 
     protocol_version = "HTTP/1.1"
 
     def respond(self, status: int, *headers: tuple[str, str], body: bytes = b"") -> None:
-        """Answer with a status, headers and a body."""
+        """Send a response with a status, headers and a body."""
         self.send_response(status)
         for name, value in (*headers, ("Content-Length", str(len(body)))):
             self.send_header(name, value)
@@ -50,11 +51,11 @@
         self.wfile.write(body)
 
     def read_body(self) -> bytes:
-        """Read the request's body."""
+        """Read and return the request's body."""
         return self.rfile.read(int(self.headers.get("Content-Length") or 0))
 
     def log_message(self, *_args: object) -> None:
-        """Log nothing: the server prints lines of its own."""
+        """Log nothing: the handlers print their own lines."""
 
 
 class EndpointHandler(JsonHandler):
@@ -63,22 +64,22 @@
     server: EndpointServer
 
     def do_GET(self) -> None:
-        """Answer a health check."""
-        self.respond(503 if self.server.answer_mode == AnswerMode.FAIL else 200)
+        """Respond to a health check."""
+        self.respond(503 if self.server.response_mode == ResponseMode.FAIL else 200)
 
     def do_POST(self) -> None:
-        """Receive one event or a batch, and answer by the answer mode."""
+        """Receive one event or a batch, and respond according to the response mode."""
         body = self.read_body()
         event_ids = self._event_ids(body)
-        mode = self.server.answer_mode
-        if mode == AnswerMode.FAIL:
+        mode = self.server.response_mode
+        if mode == ResponseMode.FAIL:
             self.respond(500)
-        elif mode == AnswerMode.RATE_LIMIT:
+        elif mode == ResponseMode.RATE_LIMIT:
             self.respond(429, ("Retry-After", str(RETRY_AFTER_S)))
         else:
             states = [{"id": event_id, "state": "done"} for event_id in event_ids]
             self.respond(200, body=json.dumps(states).encode())
-        print(f"endpoint {self.server.server_port}: {event_ids}, answer mode {mode}", flush=True)
+        print(f"endpoint {self.server.server_port}: {event_ids}, response mode {mode}", flush=True)
 
     def _event_ids(self, body: bytes) -> list[str]:
         if self.path == "/receive-many":
@@ -87,7 +88,7 @@
 
 
 class DiscoveryHandler(JsonHandler):
-    """Discovery, and the platform that is notified of final outcomes."""
+    """Discovery. It also receives the notifications of final outcomes."""
 
     def do_GET(self) -> None:
         """Serve the endpoint list, once or as a watch."""
@@ -106,13 +107,13 @@
                 self.wfile.flush()
 
     def do_POST(self) -> None:
-        """Receive notifications of events that ended undelivered."""
+        """Receive notifications of events that were rejected or abandoned."""
         print(f"notification: {self.read_body().decode().strip()}", flush=True)
         self.respond(204)
 
 
 def endpoint_entry(port: int) -> dict[str, object]:
-    """An endpoint as discovery lists it."""
+    """Returns the entry of an endpoint in the endpoint list."""
     return {
         "id": f"s-{port}",
         "addr": f"{HOST}:{port}",
@@ -126,15 +127,15 @@
 
 
 def watch_lines(endpoint_list: str) -> Iterator[str]:
-    """Yield the lines of a watch: one list, then keep-alive lines without end."""
+    """Yield the lines of a watch: the endpoint list once, then empty keep-alive lines for ever."""
     yield endpoint_list
     while True:
-        time.sleep(KEEP_ALIVE_PAUSE_S)
+        time.sleep(KEEP_ALIVE_INTERVAL_S)
         yield ""
 
 
-def start(server: ThreadingHTTPServer) -> None:
-    """Serve in threads that end with the process."""
+def start_server(server: ThreadingHTTPServer) -> None:
+    """Run the server in daemon threads, which stop when the process exits."""
     server.daemon_threads = True
     threading.Thread(target=server.serve_forever, daemon=True).start()
 
@@ -144,18 +145,18 @@
     discovery = ThreadingHTTPServer((HOST, DISCOVERY_PORT), DiscoveryHandler)
     endpoints = [EndpointServer((HOST, port), EndpointHandler) for port in ENDPOINT_PORTS]
     for server in (discovery, *endpoints):
-        start(server)
+        start_server(server)
     ports = " and ".join(map(str, ENDPOINT_PORTS))
     print(
         f"discovery on {DISCOVERY_PORT}, endpoints of destination {DESTINATION} on {ports}; "
-        "f, w or o + Enter, Ctrl-C ends",
+        "type f, w or o and Enter to change their responses, Ctrl-C to stop",
         flush=True,
     )
     for line in sys.stdin:
-        with contextlib.suppress(ValueError):  # a line that names no answer mode
-            mode = AnswerMode(line.strip())
+        with contextlib.suppress(ValueError):  # the line is not a response mode
+            mode = ResponseMode(line.strip())
             for endpoint in endpoints:
-                endpoint.answer_mode = mode
+                endpoint.response_mode = mode
     threading.Event().wait()
 
 
