--- a/tests/client/test_call_deadlines.py
+++ b/tests/client/test_call_deadlines.py
@@ -1,4 +1,4 @@
-"""The deadlines of a send hold for its bytes, however late its connection comes up."""
+"""The deadlines of a send hold for its last byte, however late its connection is established."""
 
 import signal
 import socket
@@ -12,7 +12,7 @@
 
 
 def deduplicated_stream(group, window_s):
-    """The settings of a stream type that is deduplicated within a group and window."""
+    """Returns the settings of a stream type that is deduplicated within a group and window."""
     return {
         "Name": "posting",
         "Effect": "dedup",
@@ -24,7 +24,7 @@
 
 
 def slow_reading_endpoint(*script):
-    """An endpoint that can stop reading, with little room for what is not read."""
+    """Returns an endpoint that can stop reading and has a small receive buffer."""
     endpoint = GatedEndpoint(*script)
     endpoint.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     endpoint.listener.listen(8)
@@ -32,8 +32,12 @@
 
 
 @pytest.mark.parametrize("group", ["zone", "all"])
-def test_a_connection_that_comes_up_after_the_window_carries_no_second_send(tmp_path, group):
-    """Decided 4.7 s after the first send, its bytes left after 5.7 s of a window of 5.1 s."""
+def test_no_second_send_on_a_connection_established_after_the_deduplication_window(tmp_path, group):
+    """A second send was decided in time, but its bytes were sent after the deduplication window.
+
+    It was decided 4.7 s after the first send. Its connection was established late, so the bytes were sent
+    5.7 s after the first send, although the window was 5.1 s.
+    """
     endpoint = GatedEndpoint(lambda _body: (endpoint.stop_accepting(), time.sleep(1.25), "reset")[2], 200)
     streams = [deduplicated_stream(group, 2.2)]
     with NodeProcess(tmp_path, endpoint, Profiles=streams, Permissions={"ConnectTimeout": 4.0}) as node:
@@ -46,11 +50,11 @@
 
 
 @pytest.mark.parametrize("stream", ["notice", "once"])
-def test_an_event_whose_time_ends_before_its_connection_is_up_is_in_no_call(tmp_path, stream):
-    """It was reported as timed out and abandoned, and then sent with the others of its call."""
-    wait = (429, [("Retry-After", "0.3"), ("Connection", "close")], b"")
+def test_an_event_that_times_out_before_its_connection_is_established_is_not_sent(tmp_path, stream):
+    """Such an event was reported as timed out and abandoned, and then sent with the others of its call."""
+    rate_limited = (429, [("Retry-After", "0.3"), ("Connection", "close")], b"")
     endpoint = GatedEndpoint(
-        lambda _body: (endpoint.stop_accepting(), wait)[1],
+        lambda _body: (endpoint.stop_accepting(), rate_limited)[1],
         lambda body: (200, [], b'[{"id":"evt-2","state":"done"},{"id":"evt-1","state":"done"}]'),
     )
     with NodeProcess(
@@ -65,18 +69,18 @@
         assert endpoint.calls[1][1] == "/receive" and endpoint.event_ids() == ["evt-1", "evt-2"]
 
 
-def test_no_event_ends_while_the_call_that_it_travels_in_is_out(tmp_path):
-    """One of a call was abandoned, the response came after that, and the others' acks were lost."""
+def test_no_event_has_a_final_outcome_while_its_call_is_in_flight(tmp_path):
+    """One event of a call was abandoned before the response arrived, and the acks of the others were lost."""
 
-    def late(conn):
+    def respond_late(conn):
         wait_until(lambda: node.final_outcomes())
         conn.sendall(
             b"HTTP/1.1 200 OK\r\nContent-Length: 69\r\n\r\n"
             b'[{"id": "evt-1", "state": "done"}, {"id": "evt-2", "state": "done"}]\n'
         )
 
-    wait = (429, [("Retry-After", "0.3"), ("Connection", "close")], b"")
-    endpoint = FakeEndpoint(wait, lambda _body: late, 200)
+    rate_limited = (429, [("Retry-After", "0.3"), ("Connection", "close")], b"")
+    endpoint = FakeEndpoint(rate_limited, lambda _body: respond_late, 200)
     endpoint.entry = lambda entry=endpoint.entry: entry(weight=40.0)
     with NodeProcess(tmp_path, endpoint, Domain={"KindBatch": [5]}, Weights="nominal") as node:
         assert node.submit("once", left="2300m") == 202
@@ -87,7 +91,8 @@
         assert endpoint.calls[2][2]["x-txn"] == "evt-2" and node.final_outcomes() == {"evt-1": "given_up"}
 
 
-def test_a_process_that_stood_still_does_not_send_what_is_past_its_window(tmp_path):
+def test_a_resumed_process_sends_no_event_after_its_deduplication_window(tmp_path):
+    """The process is suspended while it connects, and is resumed after the window has ended."""
     endpoint = GatedEndpoint(lambda _body: (endpoint.stop_accepting(), time.sleep(1.25), "reset")[2], 200)
     streams = [deduplicated_stream("zone", 2.2)]
     with NodeProcess(tmp_path, endpoint, Profiles=streams, Permissions={"ConnectTimeout": 6.0}) as node:
@@ -101,10 +106,10 @@
         assert len(endpoint.calls) == 1
 
 
-def test_what_has_not_arrived_when_a_call_is_given_up_never_does(tmp_path):
-    """The kernel held the rest of a body and sent it on.
+def test_unsent_bytes_of_a_timed_out_call_never_arrive(tmp_path):
+    """The kernel had buffered the rest of a body and continued to send it.
 
-    A receiver that read on had the event after its final answer.
+    A receiver that resumed reading received the event after its final outcome.
     """
     endpoint = slow_reading_endpoint()
     with NodeProcess(tmp_path, endpoint) as node:
@@ -119,7 +124,7 @@
 
 
 @pytest.mark.parametrize("window, calls", [(1.4, 1), (9.0, 2)])
-def test_a_send_whose_last_byte_is_not_there_by_the_end_of_its_window_ends(tmp_path, window, calls):
+def test_a_send_fails_when_its_last_byte_does_not_arrive_within_the_window(tmp_path, window, calls):
     endpoint = slow_reading_endpoint(lambda _body: (endpoint.gate.clear(), time.sleep(0.7), "reset")[2], 200)
     streams = [deduplicated_stream("zone", window)]
     with NodeProcess(tmp_path, endpoint, Profiles=streams, Permissions={"ConnectTimeout": 4.0}) as node:
--- a/tests/client/test_endpoint_response.py
+++ b/tests/client/test_endpoint_response.py
@@ -1,4 +1,4 @@
-"""What a response to a call means for each event in it."""
+"""The result of each event in a call, derived from the response to the call."""
 
 import json
 from types import SimpleNamespace
@@ -52,7 +52,7 @@
         (504, {}, SendOutcome.NOT_EXECUTED),
     ],
 )
-def test_the_status_of_a_call_of_one_event_gives_its_outcome(status, headers, outcome):
+def test_the_status_of_a_call_with_one_event_determines_the_outcome(status, headers, outcome):
     (result,) = results_of(response_of(status, headers))
     assert (result.outcome, result.latency_ms) == (outcome, 5.0)
     assert result.is_finished == (status in (200, 410))
@@ -67,64 +67,66 @@
         ({"connection": "close", "x-egress-full": "1"}, True, SendOutcome.NOT_EXECUTED),
     ],
 )
-def test_a_503_that_closes_a_new_connection_rejects_the_connection(headers, is_first, outcome):
+def test_a_503_that_closes_a_new_connection_means_a_connection_limit(headers, is_first, outcome):
     (result,) = results_of(response_of(503, headers), is_first=is_first)
     assert result.outcome == outcome
 
 
-def test_a_first_line_with_200_acks_a_single_event_whatever_follows():
+def test_a_first_line_with_200_acks_a_single_event_even_if_the_rest_is_missing():
     (result,) = results_of(response_of(200, is_complete=False), outcome=SendOutcome.RESET)
     assert result.outcome == SendOutcome.ACKED and result.is_finished
 
 
-def test_trailing_bytes_leave_open_whether_the_event_ran():
+def test_an_event_may_have_run_if_bytes_follow_the_response():
     (result,) = results_of(response_of(410, has_trailing_bytes=True))
     assert result.outcome == SendOutcome.RESET and not result.is_finished
 
 
-def test_without_a_complete_response_the_outcome_of_the_call_stands():
+def test_an_incomplete_response_does_not_change_the_outcome_of_the_call():
     (result,) = results_of(response_of(500, is_complete=False), outcome=SendOutcome.UNREACHABLE)
     assert result.outcome == SendOutcome.UNREACHABLE and not result.is_finished
 
 
-def test_an_ack_after_the_expiry_is_a_time_out():
+def test_an_ack_after_the_expiry_counts_as_a_time_out():
     (on_time,) = results_of(response_of(200), received_at=EXPIRES_AT)
     (late,) = results_of(response_of(200), received_at=EXPIRES_AT + 1.0)
     assert on_time.outcome == SendOutcome.ACKED
     assert late.outcome == SendOutcome.TIMED_OUT and not late.is_finished
 
 
-def test_each_event_of_a_batch_has_the_outcome_of_its_state():
+def test_each_event_of_a_batch_has_the_outcome_of_its_state_in_the_response():
     states = ["done", "failed", "busy", "void", "used_up", "other"]
-    rows = [{"id": f"evt-{number}", "state": state} for number, state in enumerate(states)]
-    results = results_of(response_of(200, body=json.dumps(rows).encode()), event_count=len(states) + 1)
+    entries = [{"id": f"evt-{number}", "state": state} for number, state in enumerate(states)]
+    results = results_of(response_of(200, body=json.dumps(entries).encode()), event_count=len(states) + 1)
     assert [result.outcome for result in results] == [
         SendOutcome.ACKED,
         SendOutcome.FAILED,
         SendOutcome.RATE_LIMITED,
         SendOutcome.NOT_EXECUTED,
         SendOutcome.NOT_EXECUTED,
-        SendOutcome.RESET,  # of an unknown state
-        SendOutcome.RESET,  # left out
+        SendOutcome.RESET,  # its state is unknown
+        SendOutcome.RESET,  # the response leaves it out
     ]
     assert [result.is_finished for result in results] == [True, False, False, True, False, False, False]
 
 
-def test_an_incomplete_batch_response_acks_nothing_whatever_its_body_says():
-    """The response has to come whole: an event of several is delivered with the end of it.
+def test_an_incomplete_batch_response_acks_no_event():
+    """Events of a batch are acknowledged only by a complete response.
 
-    Five messages were lost on a day with responses that broke off. All five had left in one call, whose
-    response was read as "status 200 complete False ... states done" and taken for their acks.
+    Five messages were lost while responses were truncated. All five had been sent in one call; its truncated
+    response, logged as "status 200 complete False ... states done", was treated as their acks.
     """
-    rows = [{"id": f"evt-{number}", "state": state} for number, state in enumerate(["done", "busy", "void"])]
-    response = response_of(200, body=json.dumps(rows).encode(), is_complete=False)
+    entries = [
+        {"id": f"evt-{number}", "state": state} for number, state in enumerate(["done", "busy", "void"])
+    ]
+    response = response_of(200, body=json.dumps(entries).encode(), is_complete=False)
     results = results_of(response, event_count=3, outcome=SendOutcome.RESET)
     assert [result.outcome for result in results] == [SendOutcome.RESET] * 3
     assert not any(result.is_finished for result in results)
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"7", b'[{"id": "evt-0"}]', b'[{"id": "evt-0", "state": []}]'])
-def test_a_batch_response_that_cannot_be_read_is_a_reset(body):
+def test_a_batch_response_that_cannot_be_parsed_counts_as_a_reset(body):
     results = results_of(response_of(200, body=body), event_count=2)
     assert [result.outcome for result in results] == [SendOutcome.RESET] * 2
 
@@ -132,7 +134,7 @@
 @pytest.mark.parametrize(
     "value, wait_ms", [("0.3", 300.0), ("2", 2000.0), ("-1", 0.0), ("nan", 0.0), ("inf", 0.0), ("soon", 0.0)]
 )
-def test_a_retry_after_is_a_positive_number_of_seconds_or_none(value, wait_ms):
+def test_a_retry_after_that_is_not_a_positive_number_counts_as_missing(value, wait_ms):
     assert parse_retry_after_ms({"retry-after": value}) == wait_ms
     assert parse_retry_after_ms({}) == 0.0
 
@@ -150,5 +152,5 @@
         ("{", None),
     ],
 )
-def test_a_load_report_is_read_from_finite_numbers(value, report):
+def test_a_load_report_needs_finite_numbers(value, report):
     assert parse_load_report({"x-pressure": value}, ("x0", "x1")) == report
--- a/tests/client/test_health_check.py
+++ b/tests/client/test_health_check.py
@@ -12,16 +12,16 @@
 
 
 def health_outcome(moves):
-    """The outcome of a health check; the endpoint has another address when it answers if it `moves`."""
+    """Returns the outcome of a health check; if `moves`, the address changes before the response."""
     addresses = {}
 
-    def answer(method, target, headers, body):
+    def respond(method, target, headers, body):
         if moves:
             addresses["a"] = ("127.0.0.1", 1)
         return 200, [], b""
 
     async def check():
-        host, port = FakeHttpServer(answer).address.split(":")
+        host, port = FakeHttpServer(respond).address.split(":")
         addresses["a"] = (host, int(port))
         pool = ConnectionPool(lambda: 0.0, 1000.0, 4)
         client = EndpointClient(
@@ -42,6 +42,6 @@
     return anyio.run(check)
 
 
-def test_a_response_from_an_earlier_address_says_nothing_of_the_endpoint():
+def test_a_response_from_a_previous_address_is_ignored():
     assert health_outcome(moves=False) == SendOutcome.ACKED
     assert health_outcome(moves=True) == SendOutcome.TIMED_OUT
--- a/tests/client/test_json_stream.py
+++ b/tests/client/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects out of lines: one a line, indented, and what can be neither."""
+"""JSON objects assembled from lines: one object per line, indented objects, and malformed input."""
 
 import json
 
@@ -6,19 +6,23 @@
 
 from swiftthread.client.json_stream import MAX_OBJECT_BYTES, JsonAssembler
 
-PAGE = {"version": 3, "full": True, "servers": [{"id": "s-1", "cell": 0}, {"id": "s-2", "weight": 4.0}]}
+LIST_DOCUMENT = {
+    "version": 3,
+    "full": True,
+    "servers": [{"id": "s-1", "cell": 0}, {"id": "s-2", "weight": 4.0}],
+}
 
 
 def assemble(text):
     assembler = JsonAssembler()
-    pages = [assembler.add(line) for line in text.encode().split(b"\n")[:-1]]
-    return [page for page in pages if page is not None]
+    objects = [assembler.add(line) for line in text.encode().split(b"\n")[:-1]]
+    return [decoded for decoded in objects if decoded is not None]
 
 
 @pytest.mark.parametrize("indent", [None, 0, 1, 4, "\t"])
-def test_objects_come_one_a_line_or_indented(indent):
-    text = json.dumps(PAGE, indent=indent)
-    assert assemble(f"\n{text}\n\n  {text}  \n") == [PAGE, PAGE]
+def test_an_object_takes_one_line_or_several_indented_lines(indent):
+    text = json.dumps(LIST_DOCUMENT, indent=indent)
+    assert assemble(f"\n{text}\n\n  {text}  \n") == [LIST_DOCUMENT, LIST_DOCUMENT]
 
 
 @pytest.mark.parametrize(
@@ -35,6 +39,6 @@
         "{\n" + '"a": 1,\n' * (MAX_OBJECT_BYTES // 8),
     ],
 )
-def test_what_can_be_no_object_is_an_error_at_once(text):
+def test_lines_that_cannot_become_an_object_are_rejected_immediately(text):
     with pytest.raises(ValueError):
         assemble(text)
