--- a/swiftthread/client/batch.py
+++ b/swiftthread/client/batch.py
@@ -34,7 +34,7 @@
 
 
 class Batch:
-    """The sends that are sent in one call.
+    """The sends of one call to an endpoint.
 
     Attributes:
         endpoint: The endpoint that is called.
--- a/swiftthread/client/discovery_client.py
+++ b/swiftthread/client/discovery_client.py
@@ -16,7 +16,8 @@
 from swiftthread.network.connection import Connection, ConnectionClosed, connect
 from swiftthread.routing.messages import EndpointEntry
 
-MAX_CONSECUTIVE_UNREADABLE_LISTS = 2  # in the next one the unreadable entries are tolerated
+# After this many consecutive lists with an unreadable entry, such an entry is tolerated.
+MAX_CONSECUTIVE_UNREADABLE_LISTS = 2
 
 UpdateCallback = Callable[[list[EndpointEntry], bool], Awaitable[None]]
 """Receives the fields of an `EndpointListUpdate` as its arguments."""
@@ -99,9 +100,7 @@
                 port,
                 error,
             )
-        except (
-            Exception
-        ):  # keeps the node running: the next watch requests the complete list on another connection
+        except Exception:  # keeps the node running: the complete list is requested on another connection
             self.endpoint_list.version = 0
             logger.exception("discovery {}:{}: the watch failed; the complete list is requested", host, port)
         finally:
--- a/swiftthread/client/endpoint_call.py
+++ b/swiftthread/client/endpoint_call.py
@@ -85,8 +85,10 @@
         except ConnectionClosed as closed:
             outcome = SendOutcome.RESET if closed.request_was_written else SendOutcome.UNREACHABLE
             is_refused = closed.was_refused
-        except Exception:  # keeps the other calls running: an error in a call counts as a reset of this call
-            logger.exception("endpoint {}, address {}: a call failed; its events have no response", *self.key)
+        except Exception:  # keeps the other calls running: this one counts as reset, or as unreachable
+            logger.exception(
+                "endpoint {}, address {}: a call failed; it counts as unreachable or reset", *self.key
+            )
             outcome = SendOutcome.UNREACHABLE if self.connection is None else SendOutcome.RESET
         finally:
             self.connections.release(self.key, self.connection, self.response)
@@ -101,7 +103,7 @@
         )
 
     async def finish_expired_sends(self) -> None:
-        """Finish each send whose deadline passes before the first byte of the call is sent."""
+        """Finish each send whose deadline passes before the first byte of the call is sent, as not sent."""
         sends = sorted(zip(self.initial_deadlines, self.batch.sends, strict=True), key=lambda pair: pair[0])
         for deadline, send in sends:
             await anyio.sleep(max(0.0, deadline - self.clock()) / 1000.0)
@@ -146,9 +148,8 @@
         write_by = math.inf
         for send in self.batch.unfinished():
             deadline = -math.inf
-            if (
-                self.connections.key_of(endpoint) == self.key
-            ):  # otherwise the address may now belong to another endpoint
+            # If the endpoint's address has changed, the old one may now belong to another endpoint.
+            if self.connections.key_of(endpoint) == self.key:
                 deadline = self.send_deadline(send.pending.event, endpoint, now)
             if now < deadline and now < send.times_out_at:
                 write_by = min(write_by, deadline)
--- a/swiftthread/client/endpoint_client.py
+++ b/swiftthread/client/endpoint_client.py
@@ -121,7 +121,7 @@
         except ConnectionClosed:
             outcome = SendOutcome.UNREACHABLE
         except Exception:  # keeps the node running: the health check counts as one without a response
-            logger.exception("endpoint {}, address {}: a health check failed; it has no response", *key)
+            logger.exception("endpoint {}, address {}: a health check failed; it counts as timed out", *key)
         finally:
             self.connections.release(key, connection, response)
         # If the endpoint's address has changed meanwhile, another endpoint may have sent the response.
--- a/swiftthread/client/endpoint_list.py
+++ b/swiftthread/client/endpoint_list.py
@@ -45,7 +45,7 @@
     """The endpoints that discovery has listed. Removed endpoints are deleted from the tables.
 
     Attributes:
-        version: Version of the last list document; 0 before the first one.
+        version: Version of the last list document; 0 if the complete list is to be requested.
         addresses: Addresses as (host, port), by endpoint id; the mapping is updated in place.
         consecutive_unreadable_lists: How many consecutive list documents, up to the last one, had an entry
             that could not be parsed.
--- a/swiftthread/client/endpoint_response.py
+++ b/swiftthread/client/endpoint_response.py
@@ -26,7 +26,7 @@
     FAILED = "failed"
     BUSY = "busy"
     VOID = "void"
-    """The event was not executed and may not be sent again, neither by this node nor by another."""
+    """The event was not executed and may not be sent again by any node."""
     USED_UP = "used_up"
 
 
--- a/swiftthread/client/http_exchange.py
+++ b/swiftthread/client/http_exchange.py
@@ -16,9 +16,7 @@
 from swiftthread.network.connection import Connection, ConnectionClosed
 
 MAX_HEAD_BYTES = 32 * 1024  # first line and headers; responses of the specified protocols are far smaller
-MAX_BODY_BYTES = (
-    64 * 1024
-)  # limit of the protocol; a body with more bytes or a larger Content-Length is malformed
+MAX_BODY_BYTES = 64 * 1024  # limit of the protocol; a longer body, or a larger Content-Length, is malformed
 MAX_INTERIM_RESPONSES = 20  # responses with a status of 1xx before the final response
 # Limit from the first byte of a response to its last; it is short because endpoints write a response at once.
 RESPONSE_COMPLETION_MS = 200.0
@@ -167,7 +165,7 @@
         connection: The connection to read from.
         response: The response to fill in.
         deadline_scope: The cancel scope that ends the wait. While the response has begun and is not
-            complete, its deadline is at most RESPONSE_COMPLETION_MS after the begin.
+            complete, its deadline is at most RESPONSE_COMPLETION_MS after its first byte.
     """
     full_deadline = deadline_scope.deadline
     had_begun = False
--- a/swiftthread/simulator/codec.py
+++ b/swiftthread/simulator/codec.py
@@ -127,7 +127,7 @@
         ProtocolError: The slice is not inside the tail.
     """
     if offset + length > len(tail):
-        raise ProtocolError(f"the tail has {len(tail)} bytes, but a record refers to {offset}+{length}")
+        raise ProtocolError(f"the tail has {len(tail)} bytes, but a record refers to {offset}+{length} bytes")
     return tail[offset : offset + length]
 
 
@@ -138,10 +138,8 @@
         ProtocolError: The phase of an entry is unknown, or the entries are not inside the tail.
     """
     entries = []
-    encoded_entries = read_tail(tail, offset, count * LIST_ENTRY.size)
-    for kind, zone, listed_rate, destination, endpoint, _started_s, phase in LIST_ENTRY.iter_unpack(
-        encoded_entries
-    ):
+    encoded = read_tail(tail, offset, count * LIST_ENTRY.size)
+    for kind, zone, listed_rate, destination, endpoint, _started_s, phase in LIST_ENTRY.iter_unpack(encoded):
         if phase not in ENDPOINT_PHASES:
             raise ProtocolError(f"list entry for endpoint {endpoint}: unknown phase {phase}")
         is_ready = phase == EndpointPhase.READY
--- a/swiftthread/simulator/errors.py
+++ b/swiftthread/simulator/errors.py
@@ -2,4 +2,4 @@
 
 
 class ProtocolError(Exception):
-    """A frame violates the protocol. The text says which batch and record, and why."""
+    """Raised when a frame violates the protocol; the text says where and why."""
