--- a/swiftthread/simulator/errors.py
+++ b/swiftthread/simulator/errors.py
@@ -2,4 +2,4 @@
 
 
 class ProtocolError(Exception):
-    """A frame that the protocol does not allow; the text says where and why."""
+    """Raised when a frame violates the protocol; the text says where and why."""
--- a/tests/configuration/test_unclear_settings.py
+++ b/tests/configuration/test_unclear_settings.py
@@ -19,7 +19,7 @@
             for number, name in enumerate(names)
         ]
         return [
-            entry[2] for entry in discovery.parse_list({"version": 1, "full": True, "servers": entries})[0]
+            entry[2] for entry in discovery.apply_list({"version": 1, "full": True, "servers": entries})[0]
         ]
 
     names = "east", "west", "north", "north", "south", "-", None, ["east"], 7
