--- a/swiftthread/routing/admission.py
+++ b/swiftthread/routing/admission.py
@@ -37,7 +37,7 @@
         ]
 
     def weight(self, stream_type: StreamType, tenant: int | None, now: float) -> float:
-        """Return the priority weight of a new event, which counts against the quota unless it exceeds it."""
+        """Return the priority weight of a new event; one within the quota of its tenant counts against it."""
         if not self.quotas:
             return stream_type.priority_weight
         if tenant is None or tenant >= len(self.quotas):
--- a/swiftthread/routing/endpoint.py
+++ b/swiftthread/routing/endpoint.py
@@ -37,6 +37,7 @@
 
     calls_in_flight: int = 0
     last_outcome_at: float = -math.inf
+    """When the last outcome was recorded, or a call was made while none was in flight."""
     acked_at: float = -math.inf
 
     failure_ratio: float = 0.0
@@ -49,7 +50,7 @@
 
     is_down: bool = False
     is_unresponsive: bool = False
-    """Whether the last failure was a call that got no response."""
+    """Whether the last failure was a call that timed out; calls still in flight do not matter."""
     has_health_check_in_flight: bool = False
     has_passed_health_check: bool = False
     warm_up_began_at: float = -math.inf
--- a/swiftthread/routing/endpoint_list.py
+++ b/swiftthread/routing/endpoint_list.py
@@ -93,7 +93,7 @@
             endpoint.rate_limiter.update_from_list(listed_rate)
         else:
             endpoint = self._add(entry, destination, has_separate_route, listed_rate)
-        endpoint.rate_limiter.extend_retry_after(retry_after_until)  # it holds across the change
+        endpoint.rate_limiter.extend_retry_after(retry_after_until)  # it stays valid when the route changes
         self._update_from_entry(endpoint, entry, has_separate_route)
         return endpoint
 
--- a/swiftthread/routing/events.py
+++ b/swiftthread/routing/events.py
@@ -22,7 +22,7 @@
 
     number: int
     endpoints: list[Endpoint] = field(default_factory=list)
-    """The ready endpoints, in this node's rank order."""
+    """The ready endpoints, by carriage cost, and by this node's rank order where the cost is equal."""
     rate_limiter: RateLimiter | None = None
     """The limiter of the first endpoint; shared by all endpoints without a separate route."""
     pending_count: int = 0
--- a/swiftthread/routing/health.py
+++ b/swiftthread/routing/health.py
@@ -122,8 +122,8 @@
         """Record that the endpoint rejected a connection because it has reached its connection limit.
 
         This does not mean that the rate limit is exceeded, nor that the endpoint is unhealthy while it acks
-        other calls. The cost: an endpoint whose connection limit stays reached for seconds under ordinary
-        load is marked down.
+        other calls. The cost arises where the connection limit stays reached for seconds under ordinary load:
+        all calls to the endpoint pause, and it is marked down if its destination acks nothing meanwhile.
         """
         endpoint.connection_limit_reached_at = now
         endpoint.retry_at = now + MIN_TRIAL_PAUSE_MS * self.jitter.uniform(*REJECTED_CONNECTION_PAUSE_FACTORS)
@@ -216,7 +216,7 @@
     def _has_consecutive_failures(self, endpoint: Endpoint, outcome: SendOutcome, now: float) -> bool:
         """Return whether there are too many consecutive failures or rejections to be chance."""
         # Most nodes see an outage in one or two of their calls only. When the destination recovers, the calls
-        # of all nodes add up: nodes that go on at their usual rate overload it, however much the others slow
+        # of all nodes add up: nodes that go on at their normal rate overload it, however much the others slow
         # down.
         failures = sum(
             other.consecutive_failures + other.consecutive_rejected_connections
@@ -253,9 +253,9 @@
         return self._destination_unacked_ms(endpoint, now) > OUTAGE_UNACKED_MS
 
     def _destination_unacked_ms(self, endpoint: Endpoint, now: float) -> float:
-        """Return the time since the destination of an endpoint last showed that it is healthy.
+        """Return the time since the destination of an endpoint last acked a call.
 
-        It does so by acking a call, or when the warm-up of one of its endpoints is due to end.
+        A later due end of the warm-up of one of its endpoints counts like an ack at that time.
         """
         return min(
             now - max(other.acked_at, self.recovery.warm_up_ends_at(other))
@@ -272,9 +272,9 @@
 
         Protects against an outage of the whole destination of which this node sees little: endpoints that
         share the limiter and have not acked a call for half a warm-up are marked down too, and each of them
-        gets one trial that waits for no recovery slot. If the destination rejects all calls, all of them are
-        marked down and get no such trial. The cost: endpoints that work are slowed down where one endpoint
-        alone is down.
+        that has not failed itself gets one trial that waits for no recovery slot. If the destination rejects
+        all calls, all of them are marked down and get no such trial. The cost: endpoints that work are slowed
+        down where one endpoint alone is down.
         """
         if not self.endpoint_list.is_current(endpoint):
             return  # the call outlived the endpoint: its id is not listed now, or names another one
--- a/swiftthread/routing/idle_connections.py
+++ b/swiftthread/routing/idle_connections.py
@@ -1,4 +1,4 @@
-"""Which idle connections to close, so that many nodes do not use up an endpoint's connection limit."""
+"""Decides which idle connections to close: many nodes must not use up an endpoint's connection limit."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
         """Return whether a connection to the endpoint would be idle most of the time.
 
         False while events are pending for the destination, which will use the connection, and false where no
-        keep-alive time is set: connections may be idle there.
+        keep-alive time is set, because connections may stay idle then.
         """
         limiter = endpoint.rate_limiter
         use_ms = max(limiter.recent_latency_ms.value, MIN_CONNECTION_USE_MS)
--- a/swiftthread/routing/list_polling.py
+++ b/swiftthread/routing/list_polling.py
@@ -9,7 +9,8 @@
 
 # Mean pause before a failed request for the list to a local agent is repeated.
 AGENT_BACKOFF_MS = 200.0
-# The same to a discovery service that all nodes share, after the first failure; each further one doubles it.
+# Mean pause after the first failed request to a discovery service that all nodes share; each further failure
+# doubles it, up to a maximum.
 DISCOVERY_BACKOFF_MS = 1000.0
 # Random deviation of a pause in either direction, as a share of it: nodes that lost their lists at the same
 # time must not request them at the same time.
@@ -39,8 +40,8 @@
         """Record that a request failed, and return when to make the next one.
 
         The backoff is exponential for a discovery service that all nodes share, because every request adds to
-        its load: if requests are repeated sooner than it can answer all of them, it keeps rejecting them or
-        answering too late.
+        its load: if requests are repeated sooner than it can respond to all of them, it keeps rejecting them
+        or responding too late.
         """
         jitter_factor = self.jitter.uniform(1 - BACKOFF_SPREAD, 1 + BACKOFF_SPREAD)
         self.next_request_at = now + self.backoff_ms * jitter_factor
--- a/swiftthread/routing/rate_limiter.py
+++ b/swiftthread/routing/rate_limiter.py
@@ -18,10 +18,11 @@
 if TYPE_CHECKING:
     from swiftthread.routing.endpoint import Endpoint
 
-# Share of the initial rate by which the rate grows during a second of acked calls; slow next to a halving.
+# Share of the initial rate (`RateLimiter.active_share`) by which the rate grows during a second of acked
+# calls, while events wait for slots; slow next to a halving.
 GROWTH_SHARE_PER_S = 0.08
-# An unlisted rate grows by that share of itself per second when the last reduction was this long ago, and
-# proportionally faster later: from 2 to 2,000 calls per second in 20 s.
+# An unlisted rate grows each second by `GROWTH_SHARE_PER_S` of itself when the last reduction was this long
+# ago, and proportionally faster later: from 2 to 2,000 calls per second in 20 s.
 UNLISTED_GROWTH_MS = 2000.0
 # Upper limit of the factor by which that growth accelerates, however long ago the last reduction was.
 MAX_UNLISTED_GROWTH_FACTOR = 8.0
@@ -39,7 +40,7 @@
 ROUGH_LIST_CONFIDENCE = 0.7
 # The first reduction of a limiter without a rate leaves at least this rate: one call per second.
 MIN_RATE_PER_MS = 0.001
-# Floor of reductions while no rate is known to be served.
+# Floor of the target rate if no rate is listed, or while no rate is known to be served.
 MIN_UNSERVED_RATE_PER_MS = MIN_RATE_PER_MS / 4
 # Rate that is assumed where a calculation needs one and the limiter has none.
 ASSUMED_RATE_PER_MS = 0.004
@@ -67,7 +68,7 @@
 MIN_UNRESPONSIVE_MS = 700.0
 # The same time as a multiple of the median latency; the longer of both applies.
 UNRESPONSIVE_LATENCIES = 4.0
-# Averaging window of the rate of acked calls, which stands for this node's usual share of the calls.
+# Averaging window of the rate of acked calls, which is the estimate of this node's share of the calls.
 AVERAGE_ACK_RATE_WINDOW_MS = 10000.0
 # Length of the activity window as a share of the latency objective (mean by priority weight): the nodes that
 # have an event for a limiter within it share the limiter's rate.
@@ -170,11 +171,11 @@
         """The limit as the endpoint list states it."""
         self.listed_rate_confidence = sharing.confidence
         self.active_share: float | None = None
-        """This node's share among the nodes that are active here; None when no rate is listed."""
+        """The rate that is this node's share among the nodes active here; None when no rate is listed."""
         self.equal_share = 0.0
-        """This node's share among all nodes."""
+        """The rate that is this node's share among all nodes."""
         self.waiting_share = 0.0
-        """This node's share among the nodes that can have an event waiting here."""
+        """The rate that is this node's share among the nodes that can have an event waiting here."""
         if listed_rate:
             self.set_listed_rate(listed_rate, sharing.confidence)
 
@@ -200,7 +201,7 @@
         """Average rate of acked calls when the last outage began."""
         self.outage_began_at = -math.inf
         self.next_recovery_slot_at = -math.inf
-        """When the next trial, health check or call of an endpoint that is down or warming up may go."""
+        """When the next trial, health check or call may be sent to an endpoint that is down or warming up."""
 
     def set_listed_rate(self, listed_rate: float, confidence: float) -> None:
         """Use this limit, and divide it among the nodes."""
@@ -336,10 +337,10 @@
         self.next_slot_at = now + 1.0 / self.rate  # nothing was reserved while calls were not paced
 
     def _reduction_floor(self) -> float:
-        """Return the floor of reductions.
+        """Return the floor of the target rate; a reduction leaves the rate itself at no less than half of it.
 
-        This is the equal share, unless no call was acked since the last reduction: the listed rate is wrong
-        then.
+        This is the reliable part of the equal share, unless no rate is listed, or no call was acked since the
+        last reduction, which means that the listed rate is wrong.
         """
         if self.active_share and self.has_acked_since_reduction:
             return self.equal_share * self.listed_rate_confidence
@@ -405,5 +406,5 @@
         self.rate_before_outage = self.average_ack_rate.at(served_until)
 
     def set_next_recovery_slot(self, at: float) -> None:
-        """Set when the next trial, health check or call of an endpoint that is down or warming up may go."""
+        """Set `next_recovery_slot_at`, the time of the next trial, health check or call during recovery."""
         self.next_recovery_slot_at = at
--- a/swiftthread/routing/recovery.py
+++ b/swiftthread/routing/recovery.py
@@ -13,7 +13,7 @@
 PAUSE_SPREAD = 0.2
 # Share of the warm-up budget that the nodes use on average. Their schedules are independent, so the sum of
 # their calls varies by its square root (at 30 calls, a margin of two square roots and two calls is left).
-# Nodes that have not noticed the outage add calls at their usual rate.
+# Nodes that have not noticed the outage add calls at the rate of normal operation.
 BUDGET_SHARE = 0.86
 
 
@@ -56,9 +56,9 @@
 
         Protects a destination that is down or has just recovered with little capacity: the trials, health
         checks and events of this node use only its share of the calls that the destination withstands. The
-        share is the mean of this node's usual share and an equal share among the nodes that can have noticed
-        the outage. The shares of each kind add up to the whole, however many nodes there are. The cost is
-        unused capacity where other nodes leave their shares unused.
+        share is the mean of this node's average ack rate before the outage and an equal share among the nodes
+        that can have noticed the outage. The shares of each kind add up to the whole, however many nodes
+        there are. The cost is unused capacity where other nodes leave their shares unused.
         """
         capacity_share = self._capacity_share(endpoint, now)
         full_capacity_pause_ms = calls * self._full_capacity_pause_ms(endpoint, now)
--- a/swiftthread/routing/retry_rules.py
+++ b/swiftthread/routing/retry_rules.py
@@ -8,7 +8,7 @@
 
 # An event gets its final outcome at least this time before its max age or its deduplication window ends.
 MIN_FINAL_OUTCOME_MARGIN_MS = 12.0
-# The same margin in scheduling cycles, of which one may run late; the longer margin holds.
+# The same margin in scheduling cycles, of which one may run late; the longer margin applies.
 FINAL_OUTCOME_MARGIN_CYCLES = 2
 # Deduplication groups that can have several endpoints.
 MULTI_ENDPOINT_GROUPS = (DeduplicationGroup.ALL, DeduplicationGroup.ZONE)
@@ -23,7 +23,8 @@
     """Return the group of endpoints that recognise a repeat of an event that was sent to this endpoint.
 
     The group is identified by a value that stays valid across restarts: the zone of its endpoints, or the id
-    of this endpoint alone where the group of the stream type is a single endpoint or unknown.
+    of this endpoint alone where the group of the stream type is a single endpoint or unknown. For a stream
+    type whose group is all endpoints the zone is returned as well, but `is_bound_to_group` is false there.
     """
     if event.stream_type.deduplication_group in MULTI_ENDPOINT_GROUPS:
         return endpoint.zone
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -193,7 +193,7 @@
         return self.urgency.sort(events, now)
 
     def ranking_horizon_ms(self, destination: Destination, now: float) -> float:
-        """Return the wait in ms by whose cost a destination's events are ranked: that of its whole queue."""
+        """Return how long a destination's whole queue takes, in ms; events rank by the cost of that wait."""
         return self.urgency.horizon_ms(destination, now)
 
     def urgency_rank(self, event: Event, horizon_ms: float, now: float) -> tuple[float, float]:
--- a/swiftthread/routing/selection.py
+++ b/swiftthread/routing/selection.py
@@ -49,7 +49,7 @@
 
 
 class EndpointSelector:
-    """Chooses among the endpoints of a destination, which are in this node's rank order."""
+    """Chooses among the endpoints of a destination, in the order of `Destination.endpoints`."""
 
     def __init__(
         self,
--- a/swiftthread/routing/statistics.py
+++ b/swiftthread/routing/statistics.py
@@ -21,7 +21,10 @@
         self._counted_at = now
 
     def at(self, time: float) -> float:
-        """Return the rate at a time, which may be in the past."""
+        """Return the rate at a time.
+
+        A time before the last counted event gets the rate at that event with its decay reversed.
+        """
         return self._rate * math.exp((self._counted_at - time) / self.window_ms)
 
 
--- a/swiftthread/routing/timeouts.py
+++ b/swiftthread/routing/timeouts.py
@@ -38,8 +38,10 @@
             # A timeout would only abandon the event, as no further attempt may follow.
             return max(MIN_TIMEOUT_MS, time_left_ms)
         factor = WARM_UP_TIMEOUT_FACTOR if self.recovery.is_warming_up(endpoint, now) else 1.0
-        usual_ms = BASE_TIMEOUT_MS + TIMEOUT_LATENCIES * endpoint.rate_limiter.recent_latency_ms.value
-        timeout_ms = min(factor * usual_ms, MAX_TIMEOUT_MS)
+        normal_timeout_ms = (
+            BASE_TIMEOUT_MS + TIMEOUT_LATENCIES * endpoint.rate_limiter.recent_latency_ms.value
+        )
+        timeout_ms = min(factor * normal_timeout_ms, MAX_TIMEOUT_MS)
         if stream_type.effect == Effect.DEDUPLICATED:
             longest_ms = TIMEOUT_SHARE * stream_type.deduplication_window_ms
         else:
@@ -51,7 +53,7 @@
 
         Protects the other events: a call ends for all of its events when one of them runs out of time, and an
         event that has less time left than a slow response takes would break off the call for the others. The
-        cost: when many events are close to their max age, each of them takes a slot of its own.
+        cost: when many events are close to their max age, each of them takes a separate slot.
         """
         time_left_ms = self._time_left_ms(event, now)
         return (
--- a/swiftthread/storage/event_records.py
+++ b/swiftthread/storage/event_records.py
@@ -53,7 +53,7 @@
 
 
 def state_record(event_id: str, attempts: int, possible_execution: PossibleExecution | None) -> bytes:
-    """Encodes, for a compacted file, the attempts that were made before the compaction."""
+    """Encode the attempts before a compaction and the first that may have run, for the compacted file."""
     return _json_record(STATE, event_id, attempts, possible_execution)
 
 
--- a/swiftthread/storage/log_clock.py
+++ b/swiftthread/storage/log_clock.py
@@ -25,7 +25,7 @@
 
 
 def read_boot_id() -> str:
-    """Returns the kernel's id of this boot; empty if the kernel does not provide one."""
+    """Return the kernel's id of this boot; empty if the kernel does not provide one."""
     try:
         with open(BOOT_ID_PATH, encoding="ascii") as source:
             return source.read().strip()
@@ -47,7 +47,7 @@
     stored_at_monotonic_ms: float
 
     def is_valid_for(self, boot_id: str, monotonic_now_ms: float) -> bool:
-        """Whether the monotonic clock is still the one that this epoch was measured on."""
+        """Return whether the monotonic clock is still the one that this epoch was measured on."""
         return bool(boot_id) and boot_id == self.boot_id and monotonic_now_ms >= self.stored_at_monotonic_ms
 
 
@@ -89,7 +89,7 @@
             self.advance_to(stored.offset_ms + stored.stored_at_monotonic_ms)
 
     def now_ms(self) -> float:
-        """Returns the time in ms since the epoch; it is near Unix time unless the wall clock was stepped."""
+        """Return the time in ms since the epoch; it is near Unix time unless the wall clock was stepped."""
         return self._monotonic() + self._offset_ms
 
     def advance_to(self, passed_at: float) -> None:
@@ -119,7 +119,7 @@
             )
 
     def _read(self) -> Epoch | None:
-        """Returns the stored epoch; None if it is missing or malformed."""
+        """Return the stored epoch; None if it is missing or malformed."""
         try:
             with open(self._path, encoding="ascii") as source:
                 fields = json.load(source)
--- a/swiftthread/storage/log_file.py
+++ b/swiftthread/storage/log_file.py
@@ -19,7 +19,7 @@
 
     @classmethod
     def from_os_error(cls, error: OSError, path: str) -> Self:
-        """Returns the same error with the path of the log file."""
+        """Return the same error with the path of the log file."""
         return cls(error.errno, error.strerror, path)
 
 
@@ -55,18 +55,18 @@
         os.close(self._descriptor)
 
     def read(self) -> bytes:
-        """Returns the contents of the file; `size` then counts all of them as complete records."""
+        """Return the contents of the file; `size` then counts all of them as complete records."""
         with open(self.path, "rb") as source:
             data = source.read()
         self.size = len(data)
         return data
 
     def has_capacity_for(self, byte_count: int) -> bool:
-        """Whether the file stays within its maximum size if this number of bytes is appended."""
+        """Return whether the file stays within its maximum size if this number of bytes is appended."""
         return self.size + byte_count <= self._max_bytes
 
     def append(self, data: bytes) -> int:
-        """Append complete records, either all of them or none; returns the offset at which they begin.
+        """Append complete records, either all of them or none; return the offset at which they begin.
 
         Raises:
             LogFileError: The records could not be written.
@@ -83,7 +83,7 @@
         return offset
 
     def remove_partial_write(self) -> None:
-        """Truncate the file to its complete records if a failed append left a partial record behind them.
+        """Cut off the partial record that a failed append left, if it could not be cut off at that time.
 
         Raises:
             LogFileError: The partial record cannot be removed.
@@ -105,7 +105,7 @@
         self._has_partial_write = False
 
     def replace(self, data: bytes) -> None:
-        """Atomically replace the file by one with these contents.
+        """Atomically replace the file with one that has these contents.
 
         Raises:
             LogFileError: The file could not be replaced and is unchanged.
@@ -120,7 +120,7 @@
         self._has_partial_write = False
 
     def _write_new_file(self, data: bytes) -> int:
-        """Write the new file and rename it to `path`; returns its open descriptor."""
+        """Write the new file and rename it to `path`; return its open descriptor."""
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         descriptor = os.open(self._new_path, flags, FILE_MODE)
         try:
--- a/swiftthread/storage/pending_event.py
+++ b/swiftthread/storage/pending_event.py
@@ -78,7 +78,7 @@
         self.possible_execution = self.possible_execution or self.send_in_flight
 
     def fingerprint(self) -> str:
-        """Returns a digest of the submitted fields except id and expiry; repeated submissions share it."""
+        """Return a digest of the submitted fields except id and expiry; repeated submissions share it."""
         identity = [
             self.idempotency_key,
             self.stream_type,
--- a/swiftthread/storage/pending_table.py
+++ b/swiftthread/storage/pending_table.py
@@ -22,7 +22,7 @@
         self._max_live_bytes = max_live_bytes
 
     def has_capacity_for(self, event_id: str, accepted_record_bytes: int) -> bool:
-        """Whether an event with an accepted record of this size can be added within the limit."""
+        """Return whether an event with an accepted record of this size can be added within the limit."""
         reserved_bytes = _reserved_bytes(event_id, accepted_record_bytes)
         return self.live_bytes + reserved_bytes <= self._max_live_bytes
 
--- a/swiftthread/storage/recently_ended.py
+++ b/swiftthread/storage/recently_ended.py
@@ -39,11 +39,11 @@
         self._events.pop(event_id, None)
 
     def get(self, event_id: str) -> EndedEvent | None:
-        """Returns what is retained of an event; None if no event with this id ended recently."""
+        """Return what is retained of an event; None if no event with this id ended recently."""
         return self._events.get(event_id)
 
     def items(self) -> ItemsView[str, EndedEvent]:
-        """Returns pairs of an id and what is retained of its event, oldest first."""
+        """Return pairs of an id and what is retained of its event, oldest first."""
         return self._events.items()
 
     def expire(self) -> None:
--- a/swiftthread/storage/records.py
+++ b/swiftthread/storage/records.py
@@ -56,14 +56,14 @@
 
 
 def encode_record(kind: bytes, payload: bytes) -> bytes:
-    """Returns one log record with this payload: checksum, length, kind, payload."""
+    """Return one log record with this payload: checksum, length, kind, payload."""
     length_and_kind = LENGTH_AND_KIND.pack(len(payload), kind)
     checksum = zlib.crc32(payload, zlib.crc32(length_and_kind))
     return CHECKSUM.pack(checksum) + length_and_kind + payload
 
 
 def scan_records(data: bytes) -> Iterator[Record | Gap]:
-    """Yields each complete record of a file's contents, and the gaps between them."""
+    """Yield each complete record of a file's contents, and the gaps between them."""
     search_from = 0
     read_up_to = 0
     while candidate := KIND_PATTERN.search(data, search_from + KIND_OFFSET):
@@ -81,7 +81,7 @@
 
 
 def _record_at(data: bytes, begin: int) -> Record | None:
-    """Returns the record that begins at an offset; None if the length or the checksum does not match."""
+    """Return the record that begins at an offset; None if the length or the checksum does not match."""
     checksum, length, kind = HEADER.unpack_from(data, begin)
     payload_begin = begin + HEADER.size
     end = payload_begin + length
@@ -96,7 +96,7 @@
 
 
 def is_torn(tail: bytes) -> bool:
-    """Whether the last bytes of a file can be a record whose writer died before it was complete."""
+    """Return whether the last bytes of a file can be a record whose writer died before it was complete."""
     if len(tail) < HEADER.size:
         return True
     _, length, kind = HEADER.unpack_from(tail)
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -99,7 +99,7 @@
         return self._table.live_bytes
 
     def latest_send_at(self) -> float:
-        """Returns the latest time stored in the log, that of a send of a pending event; 0 if none is."""
+        """Return the latest time stored in the log, that of a send of a pending event; 0 for none."""
         sends = [
             send.sent_at
             for pending in self.pending.values()
@@ -109,7 +109,7 @@
         return max(sends, default=0.0)
 
     def matches_known_event(self, pending: PendingEvent) -> bool | None:
-        """Whether the known event with this id is the same submission; None if no event with it is known."""
+        """Return whether the known event with this id is the same submission; None if the id is not known."""
         self.recently_ended.expire()
         if (known := self.pending.get(pending.event_id)) is not None:
             return known.fingerprint() == pending.fingerprint()
@@ -167,7 +167,7 @@
         self._try_append(pending, ended_record(pending.event_id))
 
     def compact(self) -> None:
-        """Replace the file by one that records only the pending events and the recently ended ids.
+        """Replace the file with one that records only the pending events and the recently ended ids.
 
         Raises:
             LogFileError: The file could not be replaced and is unchanged.
@@ -205,7 +205,7 @@
         return replay
 
     def _append(self, data: bytes) -> int:
-        """Append records, and compact the file first if it would exceed its limit; returns their offset."""
+        """Append records, and compact the file first if it would exceed its limit; return their offset."""
         self._file.remove_partial_write()
         if not self._file.has_capacity_for(len(data)):
             self.compact()
