--- a/swiftthread/network/connection_pool.py
+++ b/swiftthread/network/connection_pool.py
@@ -60,7 +60,7 @@
             self.close_idle(key)
 
     def close_expired(self) -> None:
-        """Close connections idle for so long that the endpoint may close them while a call is being sent."""
+        """Close connections idle for so long that the endpoint may close them with a call in flight."""
         expired_since = self.clock() - self.max_idle_ms
         for key in list(self.idle):
             while key in self.idle and self._oldest_idle_since(key) <= expired_since:
--- a/swiftthread/server/admission_queue.py
+++ b/swiftthread/server/admission_queue.py
@@ -9,12 +9,14 @@
 
 from swiftthread.network.connection import Connection, ConnectionClosed
 
-# Both limits apply to the longest waiting connection. A client waits 0.4 s for its response, including the
+# Both times apply to the longest waiting connection. A client waits 0.4 s for its response, including the
 # time that it takes to connect.
-NEWEST_FIRST_AFTER_S = (
-    0.15  # from here on, reading in order of arrival would reach each request just too late
-)
-GIVEN_UP_AFTER_S = 0.35  # a client that has closed its connection by now has given up
+#
+# Waiting time above which the newest connection is admitted first: in order of arrival, each request would
+# then be read just too late.
+NEWEST_FIRST_AFTER_S = 0.15
+# Waiting time above which a client that has closed its connection counts as having given up.
+GIVEN_UP_AFTER_S = 0.35
 
 
 class AdmissionPolicy(Protocol):
--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -68,7 +68,7 @@
         """Create a server; `serve` runs it.
 
         Args:
-            admit: Decides whether the node admits an event, and returns the result for its client.
+            admit: Decides whether the node accepts an event, and returns the result for its client.
             stream_types: Names of the stream types that the node serves.
             buffers: Receive buffers.
             limits: Limits on the number of client connections.
--- a/swiftthread/server/messages.py
+++ b/swiftthread/server/messages.py
@@ -8,7 +8,11 @@
     """Result of one submission, with which its client is answered."""
 
     status: int
-    """HTTP status: 202 accepted, 400 unusable, 409 another event has this id, 503 no capacity."""
+    """HTTP status of the response.
+
+    202: the event was accepted; 400: its remaining time is over or too long; 409: another event has its id;
+    503: the node cannot accept it now. A health check is answered 200, or 503 during a shutdown.
+    """
     on_response_finished: Callable[[], None] | None = None
     """Called once the response is written, or could not be written because the client has closed."""
     retry_after_ms: float = 0.0
--- a/swiftthread/service/delivery.py
+++ b/swiftthread/service/delivery.py
@@ -125,7 +125,7 @@
         """
         try:
             await self._deliver(pending, event)
-        except Exception:  # protects the other events: only this one is abandoned, for its effect is unknown
+        except Exception:  # protects the other events: only this one is abandoned, its effect being unknown
             logger.exception("event {}: the delivery failed; the event is abandoned", pending.event_id)
             self._router.withdraw(event, self._clock())
             pending.decision = Decision(FinalOutcome.ABANDONED, 0.0)
@@ -170,7 +170,8 @@
             result.load_report,
         )
         self._scheduler.wake(event.destination)
-        # If this attempt is not logged, the log has an earlier one as in flight, which may have run.
+        # After an attempt that is not logged, this record would apply to an earlier attempt that the log has
+        # as in flight and that may have run.
         if is_logged and result.outcome in NEVER_RAN:
             self._log.append_never_ran(pending)
         return None if result.is_finished else decision
--- a/swiftthread/service/limits.py
+++ b/swiftthread/service/limits.py
@@ -11,7 +11,8 @@
 # Time from the accept of a connection to the end of its first request. A connection of an unknown
 # client must be closed within 3 s.
 FIRST_REQUEST_TIMEOUT_MS = 2200.0
-# Time from the first byte of a request to its last: four times as long as a client waits.
+# Time from the first byte of a request to its last: about four times the 0.4 s that a client waits for a
+# response.
 REQUEST_TIMEOUT_MS = 1500.0
 # Idle time after which a client connection is closed. It has to be 2 s at least, and is limited because some
 # connections are never used again.
@@ -50,10 +51,11 @@
 KEEPALIVE_TIME_SHARE = 0.8
 # Longest keep-alive time that the node uses.
 MAX_KEEPALIVE_MS = 60000.0
-# Share of the memory for the bodies of pending events; the interpreter needs most of the rest.
+# Share of the memory for the bodies of pending events. It is enough for them, and leaves the rest to the
+# interpreter.
 PENDING_BODIES_MEMORY_SHARE = 1 / 8
 BYTES_PER_MIB = 1024 * 1024
-# "MB" can mean 1000 or 1024 squared bytes; this is the smaller one.
+# "MB" can mean 1000 * 1000 or 1024 * 1024 bytes; this is the smaller of the two.
 BYTES_PER_DISK_MB = 1000 * 1000
 
 
--- a/swiftthread/service/log_filter.py
+++ b/swiftthread/service/log_filter.py
@@ -23,7 +23,7 @@
 
 
 class RepeatFilter:
-    """Loguru filter that passes one line per call site and `REPEAT_INTERVAL_S`.
+    """Loguru filter that passes one line of each call site per `REPEAT_INTERVAL_S`.
 
     It keeps the log readable when many equal lines are written. The number of suppressed lines is appended to
     the next line of that call site.
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -21,8 +21,9 @@
 from swiftthread.service.queue_group import EVENT, QueueEntry, QueueGroup
 from swiftthread.service.queue_timers import EventTimers, GroupTimers
 
-# Number of events behind a deferred one that the router is still asked to decide, where endpoints have
-# separate limits or a call can be joined: there, the reason to defer one event need not apply to the next.
+# Number of events behind a deferred one that the router is still asked to decide, where each endpoint has a
+# separate rate limit or a call can be joined: there, the reason to defer one event need not apply to the
+# next one.
 MAX_EVENTS_BEHIND_DEFERRED = 3
 # Minimum time until the router is asked again about an event whose deadline it has extended.
 MIN_DEADLINE_EXTENSION_MS = 1.0
@@ -91,9 +92,9 @@
             self._unblocked_ordering_keys[event.ordering_key] = True
 
     def wake(self, destination: Destination | None = None) -> None:
-        """Make deferred groups ready again after a change in the router.
+        """Make deferred groups ready for the next cycle after a change in the router.
 
-        These are the groups of the destination and those that may wait for a call slot.
+        These are the groups of the destination, and if a call slot is free, those that may wait for one.
 
         Args:
             destination: Destination whose state changed; None makes all groups ready.
--- a/swiftthread/service/queue_group.py
+++ b/swiftthread/service/queue_group.py
@@ -95,7 +95,10 @@
                 yield entry[EVENT]
 
     def rank(self, event: Event, now: float) -> tuple[float, float]:
-        """Returns the rank of an event at `now` over the group's horizon; lower ranks are decided first."""
+        """Returns the rank of an event at `now`; lower ranks are decided first.
+
+        It uses the ranking horizon of the destination as it was at the last sort.
+        """
         return self._router.urgency_rank(event, self._horizon_ms, now)
 
     def sort_if_due(self, now: float, next_sequence_number: Iterator[int]) -> None:
--- a/swiftthread/service/submissions.py
+++ b/swiftthread/service/submissions.py
@@ -97,12 +97,15 @@
     def _reason_to_reject(
         self, pending: PendingEvent, destination: Destination | None, now: float
     ) -> AdmissionOutcome | None:
-        """Returns why the event cannot be stored or be sent before a shutdown; None if it can be."""
+        """Returns why the event cannot be stored, or not be sent before a shutdown ends the attempts.
+
+        None if it can be both.
+        """
         if len(self._log.pending) >= self._max_pending_events:
             return AdmissionOutcome.TOO_MANY_EVENTS
         if self._delivery.pending_bytes + len(pending.body) > self._max_pending_bytes:
             return AdmissionOutcome.TOO_MANY_BYTES
-        if destination is None:  # the endpoint list may arrive seconds later
+        if destination is None:  # an endpoint list that names it may arrive seconds later
             return AdmissionOutcome.UNKNOWN_DESTINATION
         drained_at = now + self._router.queue_drain_time_ms(destination, now)
         if self.is_closed or drained_at > self.sends_until:
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -1,6 +1,6 @@
 """Closing of client connections while requests arrive on them.
 
-Each test forces the order of events that could fail: a client writes between two steps of the server.
+Each test forces the unfavourable order: a client's bytes arrive between two steps of the server.
 """
 
 import fcntl
--- a/tests/service/test_activity.py
+++ b/tests/service/test_activity.py
@@ -1,4 +1,4 @@
-"""The log shows when an endpoint goes down and recovers, and the counts of the node's activity."""
+"""The log shows when an endpoint is marked down and is up again, and counts what the node did meanwhile."""
 
 from support.fake_servers import FakeEndpoint
 from support.node_process import NodeProcess, wait_until
--- a/tests/service/test_admission.py
+++ b/tests/service/test_admission.py
@@ -57,7 +57,8 @@
         decided_count = min(pending_count + admitted_count, 64)
         pending_count += admitted_count - decided_count
         acked_count += decided_count
+        # Even the cheapest cycle is delayed by 5.1 ms, because the core is never idle at this load.
         controller.record_cycle(
             max(0.0, admitted_count + 2 * decided_count - 100) * 0.05 + 5.1, decided_count
-        )  # at this load it is never idle
+        )
     assert pending_count <= 64 and acked_count > 500 * MIN_REQUESTS_PER_CYCLE
--- a/tests/service/test_internal_errors.py
+++ b/tests/service/test_internal_errors.py
@@ -20,9 +20,9 @@
 def check_still_serves(node, endpoint, min_error_count=1):
     """Check that the node delivers another event and has logged the fault; returns its log output."""
     endpoint.script[:] = [200]
-    calls = len(endpoint.calls)
+    earlier_call_count = len(endpoint.calls)
     assert node.submit() == 202
-    wait_until(lambda: len(endpoint.calls) > calls and not node.pending_event_ids())
+    wait_until(lambda: len(endpoint.calls) > earlier_call_count and not node.pending_event_ids())
     assert node.healthy()
     output = node.stop_and_read_log()
     assert output.count("RuntimeError: an injected fault") >= min_error_count and node.process.returncode == 0
--- a/tests/service/test_pending_queues.py
+++ b/tests/service/test_pending_queues.py
@@ -1,4 +1,7 @@
-"""Pending queues yield the same decisions as asking for every event, at a cost that does not grow."""
+"""Pending queues yield the same decisions as asking the router about every event, at a lower cost.
+
+The number of questions to the router per decided event does not grow with the number pending.
+"""
 
 import copy
 import math
@@ -109,7 +112,7 @@
     )
 
 
-def test_events_waiting_for_a_retry_after_are_not_asked_before_it_ends():
+def test_events_waiting_for_a_retry_after_are_decided_only_after_it_ends():
     router = make_router(rate=100.0, max_calls_in_flight=1000)
     counted = CountingRouter(router)
     queues = PendingQueues(counted)
@@ -177,7 +180,7 @@
 class QueuedEvent(NamedTuple):
     """The decision on one event in a cycle, in a form that can be compared between a router and its copy."""
 
-    ticket: int
+    handle: int
     decision_type: type
     endpoint_id: str | None
 
@@ -188,7 +191,7 @@
 
 
 class NaiveQueue:
-    """Asks for every event in each cycle: first those at their deadline, then the others by urgency."""
+    """Asks the router about every event in each cycle: first those at their deadline, then by urgency."""
 
     def __init__(self, router, events):
         self.router = router
@@ -225,7 +228,7 @@
         self.queues = PendingQueues(self.router)
         self.pending = {}  # ordered set of the events in the queues
         self.in_flight = []  # (time of the outcome in ms, event, outcome)
-        self.next_ticket = count()
+        self.next_handle = count()
         self.decided_count = self.compared_count = 0
 
     def run(self):
@@ -265,7 +268,7 @@
             self.random.uniform(800.0, STREAM_TYPES[stream_type_number].max_age_ms),
             ordering_key=self.random.randrange(1, 9),
         )
-        event.handle = next(self.next_ticket)
+        event.handle = next(self.next_handle)
         self._add(event, now)
 
     def _add(self, event, now):
@@ -298,7 +301,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_decisions_equal_those_of_asking_for_every_event(seed, monkeypatch):
+def test_decisions_equal_those_of_asking_about_every_event(seed, monkeypatch):
     monkeypatch.setattr(queue_group, "RESORT_INTERVAL_MS", -1.0)
     monkeypatch.setattr(queue_group, "RESORT_INTERVAL_PER_ENTRY_MS", 0.0)
     # The end of an ejection makes no group ready, while `NaiveQueue` would notice it: no ejections here.
