--- a/tests/client/test_discovery_watch.py
+++ b/tests/client/test_discovery_watch.py
@@ -19,7 +19,7 @@
         wait_until(lambda: node.discovery.watches)
         whole = {"version": 2, "full": True, "servers": [old.entry(), new.entry()]}
         node.discovery.send_change(new.entry() | {"addr": "nowhere"})
-        node.discovery.page = whole
+        node.discovery.list_document = whole
         wait_until(lambda: len(node.discovery.targets) == 2)
         assert node.discovery.targets[1].endswith("from=0")
         wait_until(lambda: node.submit(destination=2) == 202)
@@ -29,7 +29,11 @@
 def test_a_list_that_stays_unreadable_in_part_is_tolerated(tmp_path):
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint, known=False) as node:
-        node.discovery.page = {"version": 1, "full": True, "servers": [endpoint.entry(), {"id": "s-9"}]}
+        node.discovery.list_document = {
+            "version": 1,
+            "full": True,
+            "servers": [endpoint.entry(), {"id": "s-9"}],
+        }
         node.discovery.drop_watches()
         wait_until(lambda: len(node.discovery.watches) >= MAX_UNREADABLE_IN_A_ROW + 1)
         asked = len(node.discovery.targets)
--- a/tests/configuration/test_unclear_settings.py
+++ b/tests/configuration/test_unclear_settings.py
@@ -78,4 +78,4 @@
         program.start()
     program.process.wait(), program.process.stderr.close(), program.discovery.listener.close()
     assert program.process.returncode == 2 and str(told.value).count("\\n") <= 1
-    assert f"{program.conf}: the settings' Profiles[1] cannot be read" in str(told.value)
+    assert f"{program.config_path}: the settings' Profiles[1] cannot be read" in str(told.value)
--- a/tests/node/test_effects.py
+++ b/tests/node/test_effects.py
@@ -8,51 +8,76 @@
 import time
 
 import pytest
-from support.effect_rules import SLACK_S, Rules, Seen, broken
+from support.effect_rules import SLACK_S, EffectRules, ReceivedCall, find_violations
 from support.fake_servers import FakeHttpServer, GatedEndpoint
 from support.node_process import NodeProcess, stream_profile, wait_until
 
-ONCE, ZONE, ALL, FREELY = Rules(True), Rules(True, "zone", 2.0), Rules(True, "all", 2.0), Rules(False)
+ONCE, ZONE, ALL, FREELY = (
+    EffectRules(True),
+    EffectRules(True, "zone", 2.0),
+    EffectRules(True, "all", 2.0),
+    EffectRules(False),
+)
 
 
 @pytest.mark.parametrize(
     "rule, calls, notices, said",
     [
-        (ONCE, [Seen(1.0, "e", "k", "a", False), Seen(2.0, "e", "k", "b", True)], [], None),
+        (ONCE, [ReceivedCall(1.0, "e", "k", "a", False), ReceivedCall(2.0, "e", "k", "b", True)], [], None),
         (
             ONCE,
-            [Seen(1.0, "e", "k", "a", True), Seen(2.0, "e", "k", "a", False)],
+            [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(2.0, "e", "k", "a", False)],
             [],
             "may have run at 1.000",
         ),
-        (ZONE, [Seen(1.0, "e", "k", "a", True), Seen(3.04, "e", "k", "a", True)], [], None),
-        (ZONE, [Seen(1.0, "e", "k", "a", True), Seen(3.06, "e", "k", "a", False)], [], "2.060 s after"),
-        (ZONE, [Seen(1.0, "e", "k", "a", True), Seen(2.0, "e", "k", "b", False)], [], "was sent to zone b"),
+        (ZONE, [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(3.04, "e", "k", "a", True)], [], None),
+        (
+            ZONE,
+            [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(3.06, "e", "k", "a", False)],
+            [],
+            "2.060 s after",
+        ),
+        (
+            ZONE,
+            [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(2.0, "e", "k", "b", False)],
+            [],
+            "was sent to zone b",
+        ),
         (
             ALL,
-            [Seen(1.0, "e", "k", "a", True), Seen(2.0, "e", "k", "b", True)],
+            [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(2.0, "e", "k", "b", True)],
             [(2.5, "e", "handed_back")],
             None,
         ),
-        (ALL, [Seen(1.0, "e", "k", "a", True), Seen(1.5, "f", "k", "b", True)], [], None),
-        (ALL, [Seen(1.0, "e", "k", "a", True), Seen(3.5, "f", "k", "b", True)], [], "a second time"),
+        (ALL, [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(1.5, "f", "k", "b", True)], [], None),
+        (
+            ALL,
+            [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(3.5, "f", "k", "b", True)],
+            [],
+            "a second time",
+        ),
         (
             ZONE,
-            [Seen(1.0, "e", "k", "a", True)],
+            [ReceivedCall(1.0, "e", "k", "a", True)],
             [(1.5, "e", "handed_back")],
             "handed back, and may have run",
         ),
         (
             FREELY,
-            [Seen(1.0, "e", "k", "a", True), Seen(9.0, "e", "k", "b", True)],
+            [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(9.0, "e", "k", "b", True)],
             [(9.5, "e", "handed_back")],
             None,
         ),
-        (FREELY, [Seen(9.0, "e", "k", "b", False)], [(8.9, "e", "handed_back")], "after it was handed_back"),
+        (
+            FREELY,
+            [ReceivedCall(9.0, "e", "k", "b", False)],
+            [(8.9, "e", "handed_back")],
+            "after it was handed_back",
+        ),
     ],
 )
 def test_the_rules_name_each_violation_and_nothing_else(rule, calls, notices, said):
-    found = broken(calls, {"e": rule, "f": rule}, notices)
+    found = find_violations(calls, {"e": rule, "f": rule}, notices)
     assert not found if said is None else any(said in line for line in found), found
 
 
@@ -81,7 +106,7 @@
             self.resume_accepting()
 
     def _answer(self, method, target, headers, body):
-        arrived_at = self.came.at
+        arrived_at = self.request_arrival.at
         if method == "GET":
             return 200, [], b""
         events = [(headers.get("x-txn"), headers.get("idempotency-key", ""))]
@@ -90,7 +115,7 @@
         with self.scenario.lock:
             answer = self.random.choices(self.ANSWERS, self.ANSWER_WEIGHTS)[0]
             self.scenario.calls += [
-                Seen(arrived_at, ident, key, self.zone, answer != 503) for ident, key in events
+                ReceivedCall(arrived_at, ident, key, self.zone, answer != 503) for ident, key in events
             ]
             pause = self.random.choice([0.0, 0.05, 0.4])
         if answer == self.LATE:
@@ -145,7 +170,7 @@
 
     def _receive_notification(self, method, target, headers, body):
         discovery = self.node.discovery
-        arrived_at = discovery.came.at
+        arrived_at = discovery.request_arrival.at
         before = len(discovery.notifications)
         answer = self._answer_of_discovery(method, target, headers, body)
         with self.lock:
@@ -172,7 +197,7 @@
     arrivals = []
 
     def answer(*_request):
-        arrivals.append(server.came.at)
+        arrivals.append(server.request_arrival.at)
         return 200, [], b""
 
     server = FakeHttpServer(answer)
@@ -214,5 +239,5 @@
         wait_until(lambda: not node.pending_event_ids(), 12.0)
     calls = scenario.calls
     repeated = len(calls) - len({call.ident for call in calls})
-    assert not broken(calls, scenario.rules, scenario.notifications)
+    assert not find_violations(calls, scenario.rules, scenario.notifications)
     assert repeated > 50 and len({call.ident for call in calls if call.ran}) > 100
--- a/tests/node/test_node_connections.py
+++ b/tests/node/test_node_connections.py
@@ -60,7 +60,7 @@
 
 def test_an_event_whose_connect_failed_may_go_elsewhere(tmp_path):
     closed, open_ = FakeEndpoint(ident="s-2"), FakeEndpoint()
-    closed.cut()
+    closed.shut_down()
     with NodeProcess(tmp_path, closed, open_) as node:
         for number in range(1, 5):
             assert node.submit("once") == 202
--- a/tests/node/test_node_delivery.py
+++ b/tests/node/test_node_delivery.py
@@ -95,17 +95,17 @@
         began = time.monotonic()
         assert node.submit() == 202
         wait_until(lambda: len(endpoint.calls) == 2)
-        assert endpoint.probes == 1 and endpoint.calls[1][0] - began > 1.0
+        assert endpoint.health_check_count == 1 and endpoint.calls[1][0] - began > 1.0
         assert endpoint.event_ids() == ["evt-1", "evt-1"]
 
 
 def test_what_cannot_be_sent_is_rejected_before_its_max_age(tmp_path):
     endpoint = FakeEndpoint()
-    endpoint.cut()
+    endpoint.shut_down()
     with NodeProcess(tmp_path, endpoint) as node:
         began = time.monotonic()
         assert node.submit("once", left="700m") == 202 and node.submit("posting", left="500000u") == 202
-        node.discovery.refusing = 2
+        node.discovery.failing_notification_count = 2
         wait_until(lambda: node.final_outcomes() == {"evt-1": "handed_back", "evt-2": "handed_back"})
         assert 0.4 < time.monotonic() - began < 1.3
         assert all(row["retry_in_ms"] > 0 for row in node.discovery.notifications)
--- a/tests/node/test_node_discovery.py
+++ b/tests/node/test_node_discovery.py
@@ -31,7 +31,7 @@
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint, known=False) as node:
         wait_until(lambda: node.discovery.watches)
-        node.discovery._line(node.discovery.watches[0], '{"version": 7, "servers": [{"id"')
+        node.discovery.send_line(node.discovery.watches[0], '{"version": 7, "servers": [{"id"')
         wait_until(lambda: len(node.discovery.targets) == 2)
         assert node.discovery.targets[1].endswith("from=0")
         node.discovery.send_change({"id": 5, "addr": "nowhere"}, {"cell": []}, 7)
@@ -42,6 +42,6 @@
 def test_a_silent_watch_is_reopened(tmp_path):
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint) as node:
-        node.discovery.silent = True
+        node.discovery.omits_keep_alives = True
         wait_until(lambda: len(node.discovery.targets) == 2)
         assert node.submit() == 202
--- a/tests/node/test_node_recovery.py
+++ b/tests/node/test_node_recovery.py
@@ -23,7 +23,7 @@
         with open(node.log_path(), "ab") as torn:
             torn.write(record(b"O", b'["evt-2", half a record]')[:-9])
         endpoint.script[:], endpoint.calls[:] = [200], []
-        node.discovery.refusing = 3
+        node.discovery.failing_notification_count = 3
         node.start()
         assert node.submit("once") == 202
         wait_until(
@@ -82,11 +82,11 @@
 def test_a_decision_outlasts_the_process_until_its_notification_is_answered(tmp_path):
     endpoint = FakeEndpoint(500, 200)
     with NodeProcess(tmp_path, endpoint) as node:
-        node.discovery.refusing = 10**6
+        node.discovery.failing_notification_count = 10**6
         assert node.submit("once") == 202
         wait_until(lambda: b"given_up" in node.log_path().read_bytes())
         node.stop(signal.SIGKILL)
-        node.discovery.refusing = 0
+        node.discovery.failing_notification_count = 0
         node.start()
         wait_until(lambda: node.final_outcomes() == {"evt-1": "given_up"})
         assert len(endpoint.calls) == 1
--- a/tests/node/test_node_shutdown_and_restart.py
+++ b/tests/node/test_node_shutdown_and_restart.py
@@ -35,7 +35,7 @@
 
     wait_until(pipe_has_reader)
     process.send_signal(signal_number)
-    os.write(writers[0], node.conf.read_bytes())
+    os.write(writers[0], node.config_path.read_bytes())
     os.close(writers[0])
     assert process.wait(timeout=10) == 0
     log = process.stderr.read().decode()
@@ -58,11 +58,11 @@
 
 def test_a_decision_whose_notification_is_not_answered_outlasts_a_shutdown(tmp_path):
     with NodeProcess(tmp_path, FakeEndpoint(500)) as node:
-        node.discovery.refusing = 10**6
+        node.discovery.failing_notification_count = 10**6
         assert node.submit("once") == 202
         wait_until(lambda: b"given_up" in node.log_path().read_bytes())
         assert node.stop() == 0 and node.pending_event_ids() == {"evt-1"}
-        node.discovery.refusing = 0
+        node.discovery.failing_notification_count = 0
         node.start()
         wait_until(lambda: node.final_outcomes() == {"evt-1": "given_up"} and not node.pending_event_ids())
 
@@ -74,8 +74,8 @@
         assert [node.submit("notice", left="5000m") for _ in range(20)] == [202] * 20
         wait_until(lambda: endpoint.calls)
         node.stop(signal.SIGKILL)
-        del node.parts["known"]
-        node.conf.write_text(json.dumps(node.parts))
+        del node.config["known"]
+        node.config_path.write_text(json.dumps(node.config))
         node.discovery.gate.clear()
         endpoint.script[:] = [200]
         attempted = set(endpoint.event_ids())
--- a/tests/routing/test_connection_tables.py
+++ b/tests/routing/test_connection_tables.py
@@ -1,7 +1,7 @@
 """Connection limits of endpoints that many nodes share: what is harmless in one node is harmful in many."""
 
-from support.event_bursts import ONE
-from support.simulated_fleet import Fleet, Table
+from support.event_bursts import ONE_ENDPOINT
+from support.simulated_fleet import ConnectionLimitedEndpoint, Fleet
 from support.simulated_node import SimulatedNode
 
 from swiftthread.routing.messages import Defer, SendOutcome
@@ -11,12 +11,12 @@
 
 def test_idle_connections_of_many_nodes_stay_below_the_connection_limit():
     """One connection retained for a call every few seconds was harmless; a hundred reached the limit."""
-    table = Table(30)
+    table = ConnectionLimitedEndpoint(30)
     fleet = Fleet(100, ROUTE, {"a": table}, keepalive_ms=5000.0)
-    fleet.load(1, 60.0, 0.0, 20000.0)
+    fleet.schedule_load(1, 60.0, 0.0, 20000.0)
     fleet.run_until(30000.0)
-    assert len(table.calls) > 1000 and table.share_rejected() < 0.05
-    assert len(fleet.lines("reject ")) < 10
+    assert len(table.calls) > 1000 and table.rejected_share() < 0.05
+    assert len(fleet.trace_lines("reject ")) < 10
 
 
 def test_rejected_connections_reduce_no_rate_and_are_no_outage_while_calls_are_acked():
@@ -66,7 +66,7 @@
 
 def test_mostly_idle_connections_are_closed():
     """Hundreds of nodes each retained a connection after one call, and kept the endpoint at its limit."""
-    run = SimulatedNode(ONE, keepalive_ms=5000.0)
+    run = SimulatedNode(ONE_ENDPOINT, keepalive_ms=5000.0)
     for ticket, time_ms in enumerate((10.0, 12000.0, 12400.0, 12800.0, 13200.0), 1):
         run.schedule(time_ms, run.submit, ticket)
     run.run_until(20000.0).assert_matches_trace("idle_closes")
--- a/tests/routing/test_endpoint_changes.py
+++ b/tests/routing/test_endpoint_changes.py
@@ -1,19 +1,20 @@
 """Endpoints that drain, are removed, are listed again or move to another destination."""
 
 import pytest
-from support.event_bursts import TWO, burst, sent
+from support.event_bursts import TWO_ENDPOINTS, sends, submit_burst
 from support.simulated_node import SimulatedNode
 
 from swiftthread.routing.messages import SendOutcome
 
 
 def test_draining_endpoint_gets_no_attempts():
-    run = burst(SimulatedNode(TWO), range(1, 3))
+    run = submit_burst(SimulatedNode(TWO_ENDPOINTS), range(1, 3))
     draining = [
-        (endpoint, destination, zone, kind, rate, False) for endpoint, destination, zone, kind, rate, _ in TWO
+        (endpoint, destination, zone, kind, rate, False)
+        for endpoint, destination, zone, kind, rate, _ in TWO_ENDPOINTS
     ]
     run.schedule(300.0, run.apply_endpoint_list, draining)
-    burst(run, (8,), 400.0).run_until(20000.0).assert_matches_trace("draining")
+    submit_burst(run, (8,), 400.0).run_until(20000.0).assert_matches_trace("draining")
 
 
 @pytest.mark.parametrize("is_complete", [False, True])
@@ -23,17 +24,18 @@
 ):
     """Covers an endpoint that was marked down before, and one with a call in flight."""
     run = SimulatedNode(
-        TWO, lambda ticket, endpoint, now: (3000.0, outcome) if now < 200.0 else (50.0, SendOutcome.ACKED)
+        TWO_ENDPOINTS,
+        lambda ticket, endpoint, now: (3000.0, outcome) if now < 200.0 else (50.0, SendOutcome.ACKED),
     )
-    burst(run, range(1, 5))
+    submit_burst(run, range(1, 5))
     run.schedule(
         300.0,
         run.apply_endpoint_list,
         [(1, 5, 0, 0, 4.0, True), (2, 0, 1, 0, 4.0, True)][: 1 + is_complete],
         is_complete,
     )
-    burst(run, range(11, 14), 400.0)
-    burst(run, range(21, 24), 500.0, destination=5)
+    submit_burst(run, range(11, 14), 400.0)
+    submit_burst(run, range(21, 24), 500.0, destination=5)
     run.run_until(30000.0)
     sends = [line.split()[2:5:2] for line in run.lines if " send " in line and float(line.split()[0]) > 300.0]
     sends = [(int(ticket), endpoint.strip(",")) for ticket, endpoint in sends]
@@ -45,7 +47,7 @@
 
 def test_retry_after_and_outage_still_hold_when_a_drained_endpoint_is_listed_again():
     routes = [(1, 0, 0, 0, 4.0, True)]
-    run = burst(
+    run = submit_burst(
         SimulatedNode(
             routes,
             lambda ticket, endpoint, now: (
@@ -58,4 +60,4 @@
     run.schedule(500.0, run.apply_endpoint_list, [(1, 0, 0, 0, 4.0, False)])
     run.schedule(900.0, run.apply_endpoint_list, routes)
     run.run_until(6000.0).assert_matches_trace("retry_after_outlasts_list")
-    assert sent(run)[1][0] >= 3060.0
+    assert sends(run)[1][0] >= 3060.0
--- a/tests/routing/test_endpoint_selection.py
+++ b/tests/routing/test_endpoint_selection.py
@@ -3,7 +3,7 @@
 import sys
 from itertools import pairwise
 
-from support.event_bursts import ONE, TWO, burst
+from support.event_bursts import ONE_ENDPOINT, TWO_ENDPOINTS, submit_burst
 from support.simulated_node import SimulatedNode
 from support.stream_types import IDEMPOTENT
 
@@ -14,7 +14,7 @@
 def test_event_waits_for_the_cheaper_route_until_the_delay_costs_more_than_carriage():
     routes = [(1, 0, 0, 0, 1.0, True), (2, 0, 1, 0, 1.0, True)]
     run = SimulatedNode(routes, separate_routes_by_kind=[True], carriage_cost_by_zone=[0.05, 0.0])
-    burst(run, range(1, 5)).run_until(6000.0).assert_matches_trace("carriage_cost")
+    submit_burst(run, range(1, 5)).run_until(6000.0).assert_matches_trace("carriage_cost")
 
 
 def test_events_use_free_slots_of_the_costlier_route_while_the_cheaper_route_is_down():
@@ -27,7 +27,7 @@
         return (5.0, SendOutcome.UNREACHABLE) if endpoint == 1 else (50.0, SendOutcome.ACKED)
 
     routes = [(1, 0, 1, 0, 8.0, True), (2, 0, 0, 0, 4.0, True)]
-    run = burst(
+    run = submit_burst(
         SimulatedNode(routes, answers, separate_routes_by_kind=[True], carriage_cost_by_zone=[0.05, 0.0]),
         range(1, 40),
     ).run_until(6000.0)
@@ -45,7 +45,7 @@
         return (50.0, SendOutcome.FAILED) if endpoint == 1 and ticket % 2 else (100.0, SendOutcome.ACKED)
 
     run = SimulatedNode(
-        TWO, answers, stream_types=[IDEMPOTENT, IDEMPOTENT._replace(latency_objective_ms=4000.0)]
+        TWO_ENDPOINTS, answers, stream_types=[IDEMPOTENT, IDEMPOTENT._replace(latency_objective_ms=4000.0)]
     )
     for ticket in range(1, 17):
         run.schedule(600.0 * ticket, run.submit, ticket, 0, ticket % 2)
@@ -58,9 +58,9 @@
     When the oldest event was sent first, each event waited until its delivery was worthless.
     """
     stream = StreamType(1500.0, 5000.0, effect="idempotent")
-    run = SimulatedNode(ONE, stream_types=[stream])
+    run = SimulatedNode(ONE_ENDPOINT, stream_types=[stream])
     for ticket in range(160):
-        burst(run, (ticket,), 10.0 + 125.0 * ticket)
+        submit_burst(run, (ticket,), 10.0 + 125.0 * ticket)
     run.run_until(30000.0)
     acks = [(float(line.split()[0]), int(line.split()[2])) for line in run.lines if " acked " in line]
     ages_ms = sorted(acked_at - 10.0 - 125.0 * ticket for acked_at, ticket in acks)
@@ -75,7 +75,7 @@
             ).run_until(5.0),
             [],
         )
-        burst(run, (1, 2))
+        submit_burst(run, (1, 2))
         sys.setprofile(lambda frame, event, arg: calls.append(event) if event == "call" else None)
         run.run_until(3000.0)
         sys.setprofile(None)
--- a/tests/routing/test_outages.py
+++ b/tests/routing/test_outages.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from support.event_bursts import ONE, sent
+from support.event_bursts import ONE_ENDPOINT, sends
 from support.simulated_node import SimulatedNode
 
 from swiftthread.routing.messages import SendOutcome
@@ -22,8 +22,8 @@
         run.schedule(time_ms + 10.0, run.submit, 1000 + time_ms, 0)
         run.schedule(time_ms + 10.0, run.submit, 5000 + time_ms, 1)
     run.run_until(2500.0)
-    assert max(time_ms for time_ms, ticket in sent(run) if ticket < 5000) < 1500.0
-    assert len([1 for time_ms, ticket in sent(run) if ticket >= 5000 and time_ms > 1500.0]) >= 15
+    assert max(time_ms for time_ms, ticket in sends(run) if ticket < 5000) < 1500.0
+    assert len([1 for time_ms, ticket in sends(run) if ticket >= 5000 and time_ms > 1500.0]) >= 15
 
 
 @pytest.mark.parametrize("nodes", [2, 12])
@@ -37,12 +37,12 @@
     for time_ms in range(0, 60000, 500):
         run.schedule(time_ms + 10.0, run.submit, time_ms + 1)
     run.run_until(40000.0)
-    trials = [time_ms for time_ms, _ in sent(run) if 2000.0 < time_ms < 20000.0]
+    trials = [time_ms for time_ms, _ in sends(run) if 2000.0 < time_ms < 20000.0]
     budget = 2.0 * 0.2 * 4.0 * 18.0  # overload multiple x cold capacity share x rate x seconds
     assert 1 <= len(trials) <= budget / nodes * (1 if nodes == 2 else 4)
-    calls_after_recovery = [time_ms for time_ms, _ in sent(run) if 20000.0 <= time_ms < 22000.0]
+    calls_after_recovery = [time_ms for time_ms, _ in sends(run) if 20000.0 <= time_ms < 22000.0]
     assert len(calls_after_recovery) <= 3
-    assert len([time_ms for time_ms, _ in sent(run) if 32000.0 < time_ms < 40000.0]) >= 4
+    assert len([time_ms for time_ms, _ in sends(run) if 32000.0 < time_ms < 40000.0]) >= 4
 
 
 def test_a_timeout_during_warm_up_does_not_begin_a_new_outage():
@@ -55,7 +55,7 @@
             else (100.0, SendOutcome.ACKED)
         )
 
-    run = SimulatedNode(ONE, respond)
+    run = SimulatedNode(ONE_ENDPOINT, respond)
     for ticket in range(1, 40):
         run.schedule(400.0 * ticket, run.submit, ticket)
     run.run_until(20000.0).assert_matches_trace("warm_up_time_out")
@@ -90,7 +90,7 @@
             else (50.0, SendOutcome.ACKED)
         )
 
-    run = SimulatedNode(ONE, respond)
+    run = SimulatedNode(ONE_ENDPOINT, respond)
     for ticket in range(1, 24):
         run.schedule(400.0 * ticket, run.submit, ticket)
     run.run_until(20000.0).assert_matches_trace("lone_resets")
@@ -108,7 +108,7 @@
     for ticket in range(1, 30):
         run.schedule(200.0 * ticket, run.submit, ticket)
     run.run_until(12000.0).assert_matches_trace("shut_everywhere")
-    assert len({time_ms for time_ms, _ in sent(run) if 6000.0 < time_ms < 8000.0}) <= 2
+    assert len({time_ms for time_ms, _ in sends(run) if 6000.0 < time_ms < 8000.0}) <= 2
 
 
 def test_a_refused_connect_is_an_outage_only_when_repeated_and_closes_idle_connections():
@@ -121,7 +121,7 @@
             else (100.0, SendOutcome.ACKED)
         )
 
-    run = SimulatedNode(ONE, respond, keepalive_ms=5000.0, connect_timeout_ms=1000.0)
+    run = SimulatedNode(ONE_ENDPOINT, respond, keepalive_ms=5000.0, connect_timeout_ms=1000.0)
     for ticket, time_ms in enumerate((10.0, 2000.0, 4000.0, 4200.0, 9000.0), 1):
         run.schedule(time_ms, run.submit, ticket)
     run.run_until(20000.0).assert_matches_trace("full_connection_table")
@@ -143,7 +143,7 @@
         )
 
     def run_outage(seed):
-        run = SimulatedNode(ONE, respond, node_count=198)
+        run = SimulatedNode(ONE_ENDPOINT, respond, node_count=198)
         run.session.router.random_uniform = random.Random(seed).uniform
         for ticket, time_ms in enumerate((1000.0, 1100.0, 9000.0), 1):
             run.schedule(time_ms, run.submit, ticket)
@@ -154,6 +154,6 @@
     # While all calls are rejected: the mean pause is 37 s, and the first trial comes at a random time within
     # it, so about 3 of 20 nodes make a trial.
     trials = [
-        time_ms for seed in range(20) for time_ms, _ in sent(run_outage(seed)) if 4000.0 < time_ms < 10000.0
+        time_ms for seed in range(20) for time_ms, _ in sends(run_outage(seed)) if 4000.0 < time_ms < 10000.0
     ]
     assert len(trials) <= 6
--- a/tests/routing/test_overload.py
+++ b/tests/routing/test_overload.py
@@ -1,7 +1,7 @@
 """More events than a limit allows, at many nodes that each see a few of them."""
 
 import pytest
-from support.simulated_fleet import Fleet, Limited
+from support.simulated_fleet import Fleet, RateLimitedEndpoint
 
 ROUTE = "a"
 RETRY_AFTER_MS = 1046.0  # the Retry-After of a rejection
@@ -18,10 +18,10 @@
     """Nodes resumed together at half their rates; rejected calls used up the limit and 0.32 was served."""
     shares = []
     for seed in range(4):
-        limited = Limited(limit, RETRY_AFTER_MS)
+        limited = RateLimitedEndpoint(limit, RETRY_AFTER_MS)
         fleet = Fleet(node_count, [(ROUTE, 0, 0, 0, limit, True)], {ROUTE: limited})
-        fleet.load(seed, 0.6 * limit, 0.0, LOAD_MS)
-        fleet.load(seed + 100, 1.3 * limit, LOAD_MS, LOAD_MS + OVERLOAD_MS)
+        fleet.schedule_load(seed, 0.6 * limit, 0.0, LOAD_MS)
+        fleet.schedule_load(seed + 100, 1.3 * limit, LOAD_MS, LOAD_MS + OVERLOAD_MS)
         fleet.run_until(END_MS)
         served = sum(LOAD_MS <= time_ms < LOAD_MS + OVERLOAD_MS for time_ms in limited.served)
         shares.append(served / (limit * OVERLOAD_MS / 1000.0))
@@ -30,9 +30,9 @@
 
 def test_a_node_given_a_retry_after_falls_back_to_its_waiting_share_and_recovers_its_rate():
     node = (
-        Fleet(20, [(ROUTE, 0, 0, 0, 40.0, True)], {ROUTE: Limited(40.0)})
+        Fleet(20, [(ROUTE, 0, 0, 0, 40.0, True)], {ROUTE: RateLimitedEndpoint(40.0)})
         .run_until(0.0)
-        .members[0]
+        .nodes[0]
         .session.router
     )
     limiter = node.endpoints[ROUTE].rate_limiter
--- a/tests/routing/test_recovery_ramp.py
+++ b/tests/routing/test_recovery_ramp.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from support.simulated_fleet import Fleet, Returning
+from support.simulated_fleet import Fleet, RecoveringEndpoint
 
 NODE_COUNT = 30
 LIMIT_PER_S = 20.0  # calls that the destination accepts
@@ -33,10 +33,10 @@
 
 def recovered_endpoint(seed, endpoint_count, limit=LIMIT_PER_S, load=LOAD_PER_S, **settings):
     """Return the endpoint after a random load; nodes without events in the outage have not noticed it."""
-    endpoint = Returning(OUTAGE_BEGINS_AT, OUTAGE_ENDS_AT)
+    endpoint = RecoveringEndpoint(OUTAGE_BEGINS_AT, OUTAGE_ENDS_AT)
     routes = [(f"s-{number}", 0, 0, 0, limit, True) for number in range(endpoint_count)]
     fleet = Fleet(NODE_COUNT, routes, {endpoint_id: endpoint for endpoint_id, *_ in routes}, **settings)
-    fleet.load(seed, load, 0.0, 30000.0)
+    fleet.schedule_load(seed, load, 0.0, 30000.0)
     fleet.run_until(30000.0)
     return endpoint
 
@@ -49,7 +49,7 @@
     endpoint = recovered_endpoint(seed, endpoint_count, limit, load, warm_up_ms=warm_up)
     for begin in range(0, int(warm_up), 250):
         budget = allowed_calls(begin, begin + WINDOW_MS, limit, warm_up)
-        calls = endpoint.within(begin, begin + WINDOW_MS)
+        calls = endpoint.calls_within(begin, begin + WINDOW_MS)
         assert calls <= budget + 2 * math.sqrt(budget) + 2, (
             f"{calls} calls from {begin} ms, {budget:.0f} allowed"
         )
@@ -65,7 +65,7 @@
     endpoints = [recovered_endpoint(seed, endpoint_count) for seed in range(8)]
     for begin, end, min_share in ((0.0, 4000.0, 0.5), (4000.0, 8000.0, 0.65)):
         used_share = (
-            sum(endpoint.within(begin, end) for endpoint in endpoints)
+            sum(endpoint.calls_within(begin, end) for endpoint in endpoints)
             / len(endpoints)
             / allowed_calls(begin, end)
         )
--- a/tests/routing/test_slow_start_budget.py
+++ b/tests/routing/test_slow_start_budget.py
@@ -13,28 +13,34 @@
 """
 
 import pytest
-from support.cold_destination import OVERLOAD_MULTIPLE, Outage, Terms, play
+from support.cold_destination import OVERLOAD_MULTIPLE, Outage, RecoveryScenario, simulate_recovery
 
 CONFIGURATIONS = {
-    "three routes of two calls per second": Terms(routes=3, limit_per_s=2.0),
-    "rejections with a Retry-After": Terms(routes=3, limit_per_s=2.0, outage=Outage.SHUT_WITH_WAITS),
-    "errors": Terms(routes=3, limit_per_s=2.0, outage=Outage.FAILS),
-    "refused connections": Terms(routes=3, limit_per_s=2.0, outage=Outage.REFUSES),
-    "connect timeouts": Terms(routes=3, limit_per_s=2.0, outage=Outage.VANISHES),
-    "no responses": Terms(routes=3, limit_per_s=2.0, outage=Outage.HANGS),
-    "a short outage": Terms(limit_per_s=12.0, lasts=3000.0),
-    "a long outage": Terms(limit_per_s=3.0, lasts=60000.0),
-    "200 nodes": Terms(nodes=200, limit_per_s=20.0),
-    "200 nodes, 3 calls per second": Terms(nodes=200, limit_per_s=3.0),
-    "a third of the nodes restarted": Terms(routes=3, limit_per_s=2.0, restarted_share=0.3),
-    "all nodes restarted": Terms(limit_per_s=6.0, outage=Outage.REFUSES, restarted_share=1.0),
-    "one call per second and node": Terms(limit_per_s=50.0, lasts=6000.0),
-    "12 nodes": Terms(nodes=12, limit_per_s=20.0),
-    "3 nodes": Terms(nodes=3, limit_per_s=12.0),
-    "one node": Terms(nodes=1, limit_per_s=3.0),
+    "three routes of two calls per second": RecoveryScenario(route_count=3, limit_per_s=2.0),
+    "rejections with a Retry-After": RecoveryScenario(
+        route_count=3, limit_per_s=2.0, outage=Outage.REJECTS_WITH_RETRY_AFTER
+    ),
+    "errors": RecoveryScenario(route_count=3, limit_per_s=2.0, outage=Outage.FAILS_MOST_CALLS),
+    "refused connections": RecoveryScenario(
+        route_count=3, limit_per_s=2.0, outage=Outage.REFUSES_CONNECTIONS
+    ),
+    "connect timeouts": RecoveryScenario(route_count=3, limit_per_s=2.0, outage=Outage.CONNECT_TIMES_OUT),
+    "no responses": RecoveryScenario(route_count=3, limit_per_s=2.0, outage=Outage.NEVER_RESPONDS),
+    "a short outage": RecoveryScenario(limit_per_s=12.0, outage_ms=3000.0),
+    "a long outage": RecoveryScenario(limit_per_s=3.0, outage_ms=60000.0),
+    "200 nodes": RecoveryScenario(node_count=200, limit_per_s=20.0),
+    "200 nodes, 3 calls per second": RecoveryScenario(node_count=200, limit_per_s=3.0),
+    "a third of the nodes restarted": RecoveryScenario(route_count=3, limit_per_s=2.0, restarted_share=0.3),
+    "all nodes restarted": RecoveryScenario(
+        limit_per_s=6.0, outage=Outage.REFUSES_CONNECTIONS, restarted_share=1.0
+    ),
+    "one call per second and node": RecoveryScenario(limit_per_s=50.0, outage_ms=6000.0),
+    "12 nodes": RecoveryScenario(node_count=12, limit_per_s=20.0),
+    "3 nodes": RecoveryScenario(node_count=3, limit_per_s=12.0),
+    "one node": RecoveryScenario(node_count=1, limit_per_s=3.0),
 }
 REJECTED_CONNECTIONS = [
-    Terms(limit_per_s=limit_per_s, routes=routes, outage=Outage.SHUT_AND_FULL)
+    RecoveryScenario(limit_per_s=limit_per_s, route_count=routes, outage=Outage.REJECTS_CALLS_AND_CONNECTIONS)
     for limit_per_s in (2.0, 6.0, 16.0)
     for routes in (1, 3)
 ]
@@ -44,9 +50,9 @@
 def test_nodes_that_noticed_the_outage_stay_within_the_warm_up_budget():
     overloads = {
         (name, seed): overload
-        for name, terms in CONFIGURATIONS.items()
+        for name, scenario in CONFIGURATIONS.items()
         for seed in range(RECOVERY_COUNT)
-        for route in play(terms, seed)
+        for route in simulate_recovery(scenario, seed)
         for overload in route.overloads()
     }
     assert overloads == {}
@@ -60,10 +66,10 @@
     budget was exceeded in 574 of 960 simulated recoveries.
     """
     overloads = {
-        (terms, seed): overload
-        for terms in REJECTED_CONNECTIONS
+        (scenario, seed): overload
+        for scenario in REJECTED_CONNECTIONS
         for seed in range(RECOVERY_COUNT)
-        for route in play(terms, seed)
+        for route in simulate_recovery(scenario, seed)
         for overload in route.overloads()
     }
     assert overloads == {}
@@ -74,8 +80,8 @@
 )
 def test_at_least_half_of_the_warm_up_capacity_is_used(name):
     """Protects against a warm-up that stays within the budget because nothing is sent."""
-    terms = CONFIGURATIONS[name]
-    routes = [route for seed in range(RECOVERY_COUNT) for route in play(terms, seed)]
-    allowed = sum(terms.budget(end) for end in (2000.0, 4000.0, 6000.0, 8000.0))
+    scenario = CONFIGURATIONS[name]
+    routes = [route for seed in range(RECOVERY_COUNT) for route in simulate_recovery(scenario, seed)]
+    allowed = sum(scenario.warm_up_budget(end) for end in (2000.0, 4000.0, 6000.0, 8000.0))
     used = sum(route.calls_within(0.0, 8000.0) for route in routes) / len(routes)
     assert used > allowed / OVERLOAD_MULTIPLE / 2
--- a/tests/service/test_fleet_size.py
+++ b/tests/service/test_fleet_size.py
@@ -57,9 +57,9 @@
         wait_until(lambda: len(real[0].calls) + len(real[1].calls) == 5)
         assert len(real[1].calls) <= 1
         assert rss_mb(node.process) < 32.0 and len(os.listdir(f"/proc/{node.process.pid}/fd")) < 256
-        node.parts["known"] = {"version": 1, "full": True, "servers": rows}
-        node.discovery.page["servers"][:] = rows
-        node.stop(), node.conf.write_text(json.dumps(node.parts))
+        node.config["known"] = {"version": 1, "full": True, "servers": rows}
+        node.discovery.list_document["servers"][:] = rows
+        node.stop(), node.config_path.write_text(json.dumps(node.config))
         assert node.start().submit(destination=1) == 202 and rss_mb(node.process) < 32.0
 
 
--- a/tests/service/test_internal_errors.py
+++ b/tests/service/test_internal_errors.py
@@ -13,7 +13,7 @@
     node = NodeProcess(
         folder, *endpoints, environ={"FAULT": fault, "PYTHONPATH": str(here.parents[1])}, **settings
     )
-    node.module, node.home = "node_with_fault", here
+    node.module, node.working_directory = "node_with_fault", here
     return node
 
 
@@ -23,7 +23,7 @@
     calls = len(endpoint.calls)
     assert node.submit() == 202
     wait_until(lambda: len(endpoint.calls) > calls and not node.pending_event_ids())
-    assert node.healthy()
+    assert node.is_healthy()
     said = node.stop_and_read_log()
     assert said.count("RuntimeError: a planted fault") >= ended and node.process.returncode == 0
     return said
@@ -90,7 +90,11 @@
     ) as node:  # 1: known, 2: the first list
         wait_until(lambda: node.discovery.watches)
         node.discovery.send_change(later.entry())
-        node.discovery.page = {"version": 9, "full": True, "servers": [endpoint.entry(), later.entry()]}
+        node.discovery.list_document = {
+            "version": 9,
+            "full": True,
+            "servers": [endpoint.entry(), later.entry()],
+        }
         wait_until(lambda: len(node.discovery.targets) == 2)
         assert node.discovery.targets[1].endswith("from=0")
         wait_until(lambda: node.submit(destination=2) == 202)
@@ -105,7 +109,9 @@
         tmp_path, "swiftthread.client.endpoint_client:exchange 1", endpoint, Weights="nominal"
     ) as node:
         assert node.submit() == 202
-        wait_until(lambda: endpoint.probes and len(endpoint.calls) == 2 and not node.pending_event_ids())
+        wait_until(
+            lambda: endpoint.health_check_count and len(endpoint.calls) == 2 and not node.pending_event_ids()
+        )
         assert "a health check failed" in still_serves(node, endpoint)
 
 
--- a/tests/storage/test_full_disk.py
+++ b/tests/storage/test_full_disk.py
@@ -137,9 +137,9 @@
         limit_files(node, resource.RLIM_INFINITY)
         wait_until(lambda: len(first.calls) == 2 or os.path.getsize(node.log_path()) > sizes[0])
         node.stop(signal.SIGKILL)
-        first.cut()
-        node.discovery.page["servers"][:] = [other.entry()]
-        node.parts["known"] = node.discovery.page
+        first.shut_down()
+        node.discovery.list_document["servers"][:] = [other.entry()]
+        node.config["known"] = node.discovery.list_document
         node.start()
         wait_until(
             lambda: node.final_outcomes() or other.calls or b'E["evt-1"]' in node.log_path().read_bytes()
@@ -168,8 +168,8 @@
         rejected = node.final_outcomes()
         endpoint.script[:] = [200]
         endpoint.calls[:] = []
-        node.parts["settings"]["Permissions"]["MaxOpen"] = 50
-        node.conf.write_text(json.dumps(node.parts))
+        node.config["settings"]["Permissions"]["MaxOpen"] = 50
+        node.config_path.write_text(json.dumps(node.config))
         node.start()
         wait_until(lambda: len(endpoint.calls) >= 8 and "evt-10" in node.final_outcomes())
         wait_until(lambda: b'E["%s"]' % list(rejected)[0].encode() in node.log_path().read_bytes())
--- a/tests/storage/test_removed_stream_type.py
+++ b/tests/storage/test_removed_stream_type.py
@@ -12,8 +12,8 @@
 
 def restart_with(node, stream_types):
     node.stop(signal.SIGKILL)
-    node.parts["settings"]["Profiles"] = stream_types
-    node.conf.write_text(json.dumps(node.parts))
+    node.config["settings"]["Profiles"] = stream_types
+    node.config_path.write_text(json.dumps(node.config))
     node.start()
 
 
--- a/tests/support/effect_rules.py
+++ b/tests/support/effect_rules.py
@@ -8,7 +8,7 @@
 SLACK_S = 0.05  # by which every time limit on sockets is longer, as the protocol says
 
 
-class Seen(NamedTuple):
+class ReceivedCall(NamedTuple):
     """A call at an endpoint.
 
     `at`: Unix s at which its last byte had come; `ran`: False if it surely had no effect.
@@ -21,7 +21,7 @@
     ran: bool
 
 
-class Rules(NamedTuple):
+class EffectRules(NamedTuple):
     """Contract of a stream type. `group`: None where no endpoint recognises repeats."""
 
     once: bool  # its effect may happen only once
@@ -29,10 +29,10 @@
     window_s: float = 0.0
 
 
-def broken(calls, rules, notices):
+def find_violations(calls, rules, notices):
     """A line for each violation, in order of time.
 
-    `rules`: event id -> Rules; `notices`: rows (Unix s, id, outcome).
+    `rules`: event id -> EffectRules; `notices`: rows (Unix s, id, outcome).
     """
     found, first, effects = [], {}, {}
     ended = {ident: (at, outcome) for at, ident, outcome in reversed(notices)}
--- a/tests/support/fake_servers.py
+++ b/tests/support/fake_servers.py
@@ -48,7 +48,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)  # accepted connections inherit it
         # `at`: Unix s at which the kernel had the last byte of the request that this thread answers.
-        self.came = threading.local()
+        self.request_arrival = threading.local()
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         # While it is not set no connection is accepted, but for one that `accept` waits for already.
         self.gate = threading.Event()
@@ -94,7 +94,7 @@
         for level, kind, stamp in notes:
             if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
                 seconds, nanos = TIMESPEC.unpack(stamp)
-                self.came.at = min(seconds + nanos / 1e9, last_data_at_before_close(conn))
+                self.request_arrival.at = min(seconds + nanos / 1e9, last_data_at_before_close(conn))
         return data
 
     def _reply(self, conn, parser, request, body):
@@ -120,7 +120,7 @@
             return True
         return False
 
-    def cut(self):
+    def shut_down(self):
         """Shut the connections down, and accept no more."""
         self.listener.shutdown(socket.SHUT_RDWR)  # a close alone leaves a blocked accept to take one more
         self.listener.close()
@@ -141,7 +141,7 @@
         self.cell = cell
         self.script = list(script) or [200]
         self.calls = []
-        self.probes = 0
+        self.health_check_count = 0
 
     def entry(self, state="SERVING", weight=0.0):
         """The endpoint as an entry of discovery's list."""
@@ -158,7 +158,7 @@
 
     def _call(self, method, target, headers, body):
         if method == "GET":
-            self.probes += 1
+            self.health_check_count += 1
             return 200, [], b""
         self.calls.append((time.monotonic(), target, headers, body))
         said = self.script.pop(0) if len(self.script) > 1 else self.script[0]
@@ -210,17 +210,17 @@
 
     def __init__(self, *entries):
         super().__init__(self._ask)
-        self.page = {"version": 1, "full": True, "servers": list(entries)}
+        self.list_document = {"version": 1, "full": True, "servers": list(entries)}
         self.watches = []
         self.notifications = []
-        self.refusing = 0  # how many notifications are answered with 500
+        self.failing_notification_count = 0  # how many notifications are answered with 500
         self.targets = []
-        self.silent = False  # whether the watches lack their keep-alive lines
+        self.omits_keep_alives = False  # whether the watches lack their keep-alive lines
 
     def _ask(self, method, target, headers, body):
         if method == "POST":
-            if self.refusing:
-                self.refusing -= 1
+            if self.failing_notification_count:
+                self.failing_notification_count -= 1
                 return 500, [], b""
             self.notifications += [json.loads(line) for line in body.splitlines()]
             return 204, [], b""
@@ -229,24 +229,28 @@
 
     def _watch(self, conn):
         conn.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self._line(conn, json.dumps(self.page))
+        self.send_line(conn, json.dumps(self.list_document))
         self.watches.append(conn)
         for _ in range(60):
             time.sleep(0.5)
-            if not self.silent:
-                self._line(conn, "")
+            if not self.omits_keep_alives:
+                self.send_line(conn, "")
 
     @staticmethod
-    def _line(conn, text):
+    def send_line(conn, text):
         data = text.encode() + b"\n"
         conn.sendall(b"%x\r\n%s\r\n" % (len(data), data))
 
     def send_change(self, *entries):
         """Send a change of the list to all watches."""
-        self.page = {"version": self.page["version"] + 1, "full": False, "servers": list(entries)}
+        self.list_document = {
+            "version": self.list_document["version"] + 1,
+            "full": False,
+            "servers": list(entries),
+        }
         for conn in self.watches:
             with contextlib.suppress(OSError):  # a watch that the node has left
-                self._line(conn, json.dumps(self.page))
+                self.send_line(conn, json.dumps(self.list_document))
 
     def drop_watches(self):
         """Shut all watches down."""
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -62,7 +62,7 @@
             name: value | settings.get(name, {}) if isinstance(value, dict) else settings.get(name, value)
             for name, value in self.SETTINGS.items()
         }
-        conf = {
+        config = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": self.discovery.address,
@@ -72,15 +72,15 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3} | dict(limits),
         }
         if known:
-            conf["known"] = self.discovery.page
-        self.conf = folder / "config.json"
-        self.parts = conf
-        self.conf.write_text(json.dumps(conf))
-        self.count = count(1)
+            config["known"] = self.discovery.list_document
+        self.config_path = folder / "config.json"
+        self.config = config
+        self.config_path.write_text(json.dumps(config))
+        self.event_numbers = count(1)
         self.process = None
         self.environ = environ or {}
         self.module = "swiftthread"  # what is started
-        self.home = None  # its working directory; None: that of the tests
+        self.working_directory = None  # its working directory; None: that of the tests
 
     def __enter__(self):
         return self.start()
@@ -95,8 +95,8 @@
     def reload(self, text=None, **parts):
         """Replace the configuration, by a text or by other parts, and send SIGHUP."""
         fresh = self.folder / "config.new"
-        fresh.write_text(text or json.dumps(self.parts | parts))
-        fresh.replace(self.conf)
+        fresh.write_text(text or json.dumps(self.config | parts))
+        fresh.replace(self.config_path)
         self.process.send_signal(signal.SIGHUP)
 
     def start(self):
@@ -105,13 +105,13 @@
         self.process = subprocess.Popen(
             [sys.executable, "-m", self.module],
             stderr=subprocess.PIPE,
-            cwd=self.home,
-            env=os.environ | {"LB_CONFIG": str(self.conf)} | self.environ,
+            cwd=self.working_directory,
+            env=os.environ | {"LB_CONFIG": str(self.config_path)} | self.environ,
         )
-        wait_until(lambda: self.healthy())
+        wait_until(lambda: self.is_healthy())
         return self
 
-    def healthy(self):
+    def is_healthy(self):
         assert self.process.poll() is None, self.process.stderr.read().decode()
         try:
             return self.raw(b"GET /_health HTTP/1.1\r\nHost: n\r\n\r\n").startswith(b"HTTP/1.1 200")
@@ -131,7 +131,7 @@
         self, stream="notice", body=b"hello", destination=1, left="4000m", ident=None, **headers
     ):
         """A client's request; a header given as None is left out."""
-        ident = ident or f"evt-{next(self.count)}"
+        ident = ident or f"evt-{next(self.event_numbers)}"
         head = {
             "Host": "api.internal",
             "X-Txn": ident,
@@ -185,9 +185,9 @@
     return conn.recv(999)
 
 
-def wait_until(true, patience=8.0):
+def wait_until(condition, timeout_s=8.0):
     """Wait until a condition holds; AssertionError when it does not within so many seconds."""
-    end = time.monotonic() + patience
-    while not true():
+    end = time.monotonic() + timeout_s
+    while not condition():
         assert time.monotonic() < end, "what was waited for did not come"
         time.sleep(0.01)
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -9,14 +9,14 @@
 from swiftthread.routing.messages import SendOutcome
 from swiftthread.routing.statistics import RecentCount
 
-CALL_MS = 100.0  # an endpoint's answer
-IDLE_MS = 4000.0  # for which a node's connection idles at most
-PROMPT_MS = 20.0  # an answer without work: a refused connection or a rejection
-TABLE_FULL_MS = 30.0  # until a connection is turned away for a full table
+RESPONSE_MS = 100.0  # an endpoint's answer
+MAX_IDLE_MS = 4000.0  # for which a node's connection idles at most
+IMMEDIATE_RESPONSE_MS = 20.0  # an answer without work: a refused connection or a rejection
+CONNECTION_REJECTED_MS = 30.0  # until a connection is turned away for a full table
 
 
 @dataclass
-class TableCall:
+class ConnectionLimitedCall:
     """A call to an endpoint with a bound on connections."""
 
     at: float
@@ -32,31 +32,35 @@
     closes_at: float
 
 
-class Table:
+class ConnectionLimitedEndpoint:
     """An endpoint with a bound on connections: a call needs its node's idle one, or a free place."""
 
-    def __init__(self, places):
-        self.places = places
+    def __init__(self, max_connections):
+        self.max_connections = max_connections
         self.open: dict[int, OpenConnection] = {}
-        self.calls: list[TableCall] = []
+        self.calls: list[ConnectionLimitedCall] = []
 
-    def answer(self, node, now):
+    def respond(self, node, now):
         self.open = {owner: line for owner, line in self.open.items() if line.closes_at > now}
         has_idle = node in self.open and self.open[node].idle_from <= now
-        was_served = has_idle or len(self.open) < self.places
+        was_served = has_idle or len(self.open) < self.max_connections
         if was_served:
-            self.open[node] = OpenConnection(now + CALL_MS, now + CALL_MS + IDLE_MS)
-        self.calls.append(TableCall(now, node, was_served))
-        return (CALL_MS, SendOutcome.ACKED) if was_served else (TABLE_FULL_MS, SendOutcome.CONNECTION_LIMIT)
+            self.open[node] = OpenConnection(now + RESPONSE_MS, now + RESPONSE_MS + MAX_IDLE_MS)
+        self.calls.append(ConnectionLimitedCall(now, node, was_served))
+        return (
+            (RESPONSE_MS, SendOutcome.ACKED)
+            if was_served
+            else (CONNECTION_REJECTED_MS, SendOutcome.CONNECTION_LIMIT)
+        )
 
     def close(self, node):
         self.open.pop(node, None)
 
-    def share_rejected(self):
+    def rejected_share(self):
         return sum(not call.was_served for call in self.calls) / len(self.calls)
 
 
-class Member(SimulatedNode):
+class FleetNode(SimulatedNode):
     """One node of a fleet; its acts stand in the fleet's queue."""
 
     def __init__(self, fleet, number, entries, endpoints, settings):
@@ -65,7 +69,7 @@
         self.endpoints = endpoints
         super().__init__(
             entries,
-            lambda ticket, endpoint, now: endpoints[endpoint].answer(number, now),
+            lambda ticket, endpoint, now: endpoints[endpoint].respond(number, now),
             node_position=number,
             **settings,
         )
@@ -96,52 +100,52 @@
     def __init__(self, size, entries, endpoints, **settings):
         self.todo = []
         self.turn = count()
-        self.members = [
-            Member(self, number, entries, endpoints, {"node_count": size} | settings)
+        self.nodes = [
+            FleetNode(self, number, entries, endpoints, {"node_count": size} | settings)
             for number in range(size)
         ]
 
-    def load(self, seed, rate, begin, end):
+    def schedule_load(self, seed, rate, begin, end):
         """Events by chance, so many a second in the mean, each at any node."""
         draw = random.Random(seed)
         ticket = count(1)
         moment = begin
         while (moment := moment + draw.expovariate(rate / 1000.0)) < end:
-            member = draw.choice(self.members)
-            member.schedule(moment, member.submit, next(ticket))
+            node = draw.choice(self.nodes)
+            node.schedule(moment, node.submit, next(ticket))
 
     def run_until(self, end):
         while self.todo and self.todo[0][0] <= end:
-            now, _, member, act, args = heapq.heappop(self.todo)
-            member.now = now
+            now, _, node, act, args = heapq.heappop(self.todo)
+            node.now = now
             act(*args)
-            member.session.settle(now, member)
+            node.session.settle(now, node)
         return self
 
-    def lines(self, word):
-        return [line for member in self.members for line in member.lines if word in line]
+    def trace_lines(self, word):
+        return [line for node in self.nodes for line in node.lines if word in line]
 
 
-class Returning:
+class RecoveringEndpoint:
     """An endpoint that refuses connections for a while, and is cold when it is back."""
 
-    def __init__(self, out_at, back_at):
-        self.out_at = out_at
-        self.back_at = back_at
+    def __init__(self, outage_begins_at, outage_ends_at):
+        self.outage_begins_at = outage_begins_at
+        self.outage_ends_at = outage_ends_at
         self.calls = []  # moments of the calls since it is back
 
-    def answer(self, _node, now):
-        if self.out_at <= now < self.back_at:
-            return PROMPT_MS, SendOutcome.UNREACHABLE
-        if now >= self.back_at:
+    def respond(self, _node, now):
+        if self.outage_begins_at <= now < self.outage_ends_at:
+            return IMMEDIATE_RESPONSE_MS, SendOutcome.UNREACHABLE
+        if now >= self.outage_ends_at:
             self.calls.append(now)
-        return CALL_MS, SendOutcome.ACKED
+        return RESPONSE_MS, SendOutcome.ACKED
 
-    def within(self, begin, end):
-        return sum(begin <= moment - self.back_at < end for moment in self.calls)
+    def calls_within(self, begin, end):
+        return sum(begin <= moment - self.outage_ends_at < end for moment in self.calls)
 
 
-class Limited:
+class RateLimitedEndpoint:
     """An endpoint that takes so many calls in a second, and counts those that it rejects.
 
     `retry_after_ms`: the Retry-After of its rejections.
@@ -154,10 +158,10 @@
         self.served = []  # moments
         self.rejected = []  # moments
 
-    def answer(self, _node, now):
+    def respond(self, _node, now):
         self.recent.add(now)
         if self.recent.count(now) > self.per_s:
             self.rejected.append(now)
-            return PROMPT_MS, SendOutcome.RATE_LIMITED, self.retry_after_ms
+            return IMMEDIATE_RESPONSE_MS, SendOutcome.RATE_LIMITED, self.retry_after_ms
         self.served.append(now)
-        return CALL_MS, SendOutcome.ACKED
+        return RESPONSE_MS, SendOutcome.ACKED
