--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""KNOWN-RED.txt at the root.
+"""Expects the tests listed in KNOWN-RED.txt to fail, and prints them.
 
-Tests that are red for a real fault that is not mended yet, passed over and printed.
-
-A line is `test, cause, issue`, the test as pytest names it. Three at most; each has to be there, and to fail.
+The file in the root folder lists tests that fail because of a known fault that is not fixed yet. Each line is
+`test, cause, issue`, with the test's pytest node id. The file may list three tests at most, and each of them
+has to exist and to fail.
 """
 
 from pathlib import Path
@@ -10,20 +10,20 @@
 
 import pytest
 
-NAME = "KNOWN-RED.txt"
+FILE_NAME = "KNOWN-RED.txt"
 MAX_ENTRIES = 3
 
 
 class KnownFault(NamedTuple):
-    """Why a listed test fails."""
+    """The cause of a listed test's failure, and its issue."""
 
     cause: str
     issue: str
 
 
-def known_red(root):
-    """Known faults by test, as the file lists them; UsageError for a file that is malformed."""
-    path = Path(root) / NAME
+def read_known_faults(root):
+    """Return the listed faults by test; raise UsageError if the file is malformed."""
+    path = Path(root) / FILE_NAME
     faults = {}
     lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
     for number, line in enumerate(lines, 1):
@@ -33,30 +33,30 @@
         cause, _, issue = rest.rpartition(", ")
         if not (test.strip() and cause.strip() and issue.strip()) or test in faults:
             raise pytest.UsageError(
-                f"{NAME}:{number}: wanted is `test, cause, issue`, each test once: {line!r}"
+                f"{FILE_NAME}:{number}: expected `test, cause, issue`, each test once: {line!r}"
             )
         faults[test] = KnownFault(cause, issue)
     if len(faults) > MAX_ENTRIES:
-        raise pytest.UsageError(f"{NAME}: {len(faults)} tests, {MAX_ENTRIES} at most")
+        raise pytest.UsageError(f"{FILE_NAME}: {len(faults)} tests, {MAX_ENTRIES} at most")
     return faults
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config, items):
-    """Expect the listed tests to fail; UsageError for one that is not there, where it would be collected."""
-    found = {item.nodeid: item for item in items}
+    """Mark the listed tests as expected failures; raise UsageError for one that should exist but does not."""
+    items_by_test = {item.nodeid: item for item in items}
     files = {item.nodeid.partition("::")[0] for item in items}
     collects_all = config.args_source is not pytest.Config.ArgsSource.ARGS
-    names_tests = any("::" in arg for arg in config.args)
-    for test, fault in known_red(config.rootpath).items():
-        if test in found:
+    selects_single_tests = any("::" in arg for arg in config.args)
+    for test, fault in read_known_faults(config.rootpath).items():
+        if test in items_by_test:
             reason = f"{fault.cause}, {fault.issue}"
-            found[test].add_marker(pytest.mark.xfail(reason=reason, strict=True))
-        elif collects_all or test.partition("::")[0] in files and not names_tests:
-            raise pytest.UsageError(f"{NAME}: no such test: {test}")
+            items_by_test[test].add_marker(pytest.mark.xfail(reason=reason, strict=True))
+        elif collects_all or test.partition("::")[0] in files and not selects_single_tests:
+            raise pytest.UsageError(f"{FILE_NAME}: no such test: {test}")
 
 
 def pytest_terminal_summary(terminalreporter, config):
     """Print the listed tests."""
-    for test, fault in known_red(config.rootpath).items():
+    for test, fault in read_known_faults(config.rootpath).items():
         terminalreporter.write_line(f"known red, passed over: {test}: {fault.cause} ({fault.issue})")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to be red: what is on it is passed over and printed, and nothing else is."""
+"""The list of known failing tests: only the listed tests are expected to fail, and they are printed."""
 
 import shutil
 import subprocess
@@ -14,70 +14,72 @@
 @pytest.mark.parametrize("number", [1, 2, 3])
 def test_worse(number): assert False
 """
-BAD, WORSE = "tests/test_it.py::test_bad", "tests/test_it.py::test_worse[%d]"
-ALL = [f"{BAD}, the cause, or what is known of it, issue 7"] + [
-    f"{WORSE % number}, another, issue 8" for number in (1, 2, 3)
+FAILING, FAILING_WITH_PARAMETER = "tests/test_it.py::test_bad", "tests/test_it.py::test_worse[%d]"
+ALL_ENTRIES = [f"{FAILING}, the cause, or what is known of it, issue 7"] + [
+    f"{FAILING_WITH_PARAMETER % number}, another, issue 8" for number in (1, 2, 3)
 ]
 
 
-def run(folder, lines, *args):
+def run_pytest(folder, lines, *args):
     (folder / "tests").mkdir()
     (folder / "tests" / "test_it.py").write_text(TESTS)
     shutil.copy(Path(__file__).with_name("conftest.py"), folder / "tests")
     shutil.copy(Path(__file__).parents[1] / "pyproject.toml", folder)
     if lines is not None:
         (folder / "KNOWN-RED.txt").write_text("".join(line + "\n" for line in lines))
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", *args], cwd=folder, capture_output=True, text=True
     )
-    return done.returncode, done.stdout + done.stderr
+    return process.returncode, process.stdout + process.stderr
 
 
 @pytest.mark.parametrize("lines", [None, [], [""]])
-def test_without_entries_every_red_test_is_red(tmp_path, lines):
-    code, said = run(tmp_path, lines)
-    assert code == 1 and "4 failed, 1 passed" in said and "known red" not in said
+def test_without_entries_every_failing_test_fails(tmp_path, lines):
+    code, output = run_pytest(tmp_path, lines)
+    assert code == 1 and "4 failed, 1 passed" in output and "known red" not in output
 
 
-def test_what_is_listed_is_passed_over_and_printed_and_nothing_else_is(tmp_path):
-    code, said = run(tmp_path, ALL[:3])
-    assert code == 1 and "1 failed, 1 passed, 3 xfailed" in said
-    assert f"known red, passed over: {BAD}: the cause, or what is known of it (issue 7)" in said
+def test_only_listed_tests_are_expected_to_fail_and_they_are_printed(tmp_path):
+    code, output = run_pytest(tmp_path, ALL_ENTRIES[:3])
+    assert code == 1 and "1 failed, 1 passed, 3 xfailed" in output
+    assert f"known red, passed over: {FAILING}: the cause, or what is known of it (issue 7)" in output
 
 
-def test_with_all_that_is_red_listed_the_verdict_is_good(tmp_path):
-    code, said = run(tmp_path, ALL[:3], "--deselect", WORSE % 3)
-    assert code == 0 and "1 passed, 1 deselected, 3 xfailed" in said
+def test_the_run_succeeds_if_all_failing_tests_are_listed(tmp_path):
+    code, output = run_pytest(tmp_path, ALL_ENTRIES[:3], "--deselect", FAILING_WITH_PARAMETER % 3)
+    assert code == 0 and "1 passed, 1 deselected, 3 xfailed" in output
 
 
 @pytest.mark.parametrize(
-    "lines, wanted",
+    "lines, expected_error",
     [
-        (ALL, "4 tests, 3 at most"),
+        (ALL_ENTRIES, "4 tests, 3 at most"),
         (["tests/test_it.py::test_gone, cause, issue 7"], "no such test: tests/test_it.py::test_gone"),
         (["tests/test_gone.py::test_bad, cause, issue 7"], "no such test: tests/test_gone.py::test_bad"),
-        ([BAD], "wanted is `test, cause, issue`"),
-        ([BAD + ", issue 7"], "wanted is `test, cause, issue`"),
-        ([ALL[0], ALL[0]], "each test once"),
+        ([FAILING], "expected `test, cause, issue`"),
+        ([FAILING + ", issue 7"], "expected `test, cause, issue`"),
+        ([ALL_ENTRIES[0], ALL_ENTRIES[0]], "each test once"),
     ],
 )
-def test_a_list_that_is_none_fails_the_run(tmp_path, lines, wanted):
-    code, said = run(tmp_path, lines)
-    assert code not in (0, 1) and wanted in said and "passed" not in said.replace("passed over", "")
+def test_an_invalid_list_fails_the_run(tmp_path, lines, expected_error):
+    code, output = run_pytest(tmp_path, lines)
+    assert (
+        code not in (0, 1) and expected_error in output and "passed" not in output.replace("passed over", "")
+    )
 
 
 def test_a_listed_test_that_passes_fails_the_run(tmp_path):
-    code, said = run(
+    code, output = run_pytest(
         tmp_path,
-        ["tests/test_it.py::test_good, cause, issue 7", *ALL[:2]],
+        ["tests/test_it.py::test_good, cause, issue 7", *ALL_ENTRIES[:2]],
         "--deselect",
-        WORSE % 2,
+        FAILING_WITH_PARAMETER % 2,
         "--deselect",
-        WORSE % 3,
+        FAILING_WITH_PARAMETER % 3,
     )
-    assert code == 1 and "1 failed, 2 deselected, 2 xfailed" in said and "XPASS(strict)" in said
+    assert code == 1 and "1 failed, 2 deselected, 2 xfailed" in output and "XPASS(strict)" in output
 
 
-def test_a_part_of_the_tests_can_be_run_with_a_list(tmp_path):
-    code, said = run(tmp_path, ALL[:1], "tests/test_it.py::test_good")
-    assert code == 0 and "1 passed" in said
+def test_some_of_the_tests_can_be_run_with_a_list(tmp_path):
+    code, output = run_pytest(tmp_path, ALL_ENTRIES[:1], "tests/test_it.py::test_good")
+    assert code == 0 and "1 passed" in output
