--- a/tests/node/test_clock_steps.py
+++ b/tests/node/test_clock_steps.py
@@ -1,8 +1,9 @@
-"""A node whose machine's wall clock is set forward or back keeps what it owes.
+"""Deadlines and deduplication windows do not depend on steps of the wall clock.
 
-Deadlines and windows hung on Unix time. Of 40 events that waited for their endpoint while the clock was set
-an hour forward 24 were delivered, and none when that happened between a kill and the restart: the node took
-them for expired. Set back, an event that may have run was sent again after its deduplication window.
+They were once computed from Unix time. Of 40 events that waited for their endpoint while the clock was set
+an hour forward, 24 were delivered, and none if the step happened between a kill and the restart: the node
+treated them as expired. When the clock was set back, an event that may have run was sent again after its
+deduplication window.
 """
 
 import signal
@@ -13,8 +14,8 @@
 from support.fake_servers import FakeEndpoint
 from support.node_process import NodeProcess, stream_profile, wait_until
 
-EVENTS = 6
-PATIENCE_S = 18.0
+EVENT_COUNT = 6
+TIMEOUT_S = 18.0
 STEPS_S = [5, -5, 60, -60, 3600, -3600]
 
 
@@ -39,28 +40,28 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 @pytest.mark.parametrize("is_restarted", [False, True])
-def test_events_that_wait_are_delivered_whatever_the_wall_clock_does(tmp_path, clock, step_s, is_restarted):
-    is_open = []
-    endpoint = FakeEndpoint(lambda _body: 200 if is_open else 429)
+def test_waiting_events_are_delivered_when_the_wall_clock_is_stepped(tmp_path, clock, step_s, is_restarted):
+    accepts_calls = []
+    endpoint = FakeEndpoint(lambda _body: 200 if accepts_calls else 429)
     with NodeProcess(tmp_path, endpoint, environ=clock.environ, **LONG_LIVED) as node:
-        submit_events(node, EVENTS, left="20000m")
+        submit_events(node, EVENT_COUNT, left="20000m")
         if is_restarted:
             node.stop(signal.SIGKILL)
         clock.step(step_s)
-        is_open.append(True)
+        accepts_calls.append(True)
         if is_restarted:
             node.start()
         submit_events(node, 1, left="20000m")
-        wait_until(lambda: not node.pending_event_ids(), PATIENCE_S)
+        wait_until(lambda: not node.pending_event_ids(), TIMEOUT_S)
         assert node.final_outcomes() == {}
 
 
-def test_steps_in_series_beside_calls_in_flight(tmp_path, clock):
-    def slow(_body):
+def test_each_event_is_sent_once_when_the_clock_is_stepped_repeatedly(tmp_path, clock):
+    def respond_slowly(_body):
         time.sleep(0.05)
         return 200
 
-    endpoint = FakeEndpoint(slow)
+    endpoint = FakeEndpoint(respond_slowly)
     with NodeProcess(tmp_path, endpoint, environ=clock.environ) as node:
         for step_s in STEPS_S * 3:
             submit_events(node, 2)
@@ -70,7 +71,7 @@
         assert len(endpoint.calls) == len(set(endpoint.event_ids())) == 2 * 3 * len(STEPS_S)
 
 
-def test_a_deduplication_window_does_not_open_again_when_the_clock_is_set_back(tmp_path, clock):
+def test_an_elapsed_deduplication_window_is_not_reopened_when_the_clock_is_set_back(tmp_path, clock):
     endpoint = FakeEndpoint("reset", 429)
     with NodeProcess(tmp_path, endpoint, environ=clock.environ, **SHORT_WINDOW) as node:
         assert node.submit("posting", left="5000m", **{"Idempotency-Key": "k"}) == 202
@@ -82,11 +83,11 @@
         endpoint.script = [200]
         node.start()
         wait_until(lambda: "evt-1" in node.final_outcomes())
-        late = [at for at, *_ in endpoint.calls if at > first_call_at + 1.05]
-        assert late == []
+        sent_after_window = [at for at, *_ in endpoint.calls if at > first_call_at + 1.05]
+        assert sent_after_window == []
 
 
-def test_an_event_does_not_outlive_its_time_when_the_clock_is_set_back(tmp_path, clock):
+def test_an_event_expires_on_time_when_the_clock_is_set_back(tmp_path, clock):
     endpoint = FakeEndpoint(429)
     with NodeProcess(tmp_path, endpoint, environ=clock.environ) as node:
         submitted_at = time.monotonic()
--- a/tests/node/test_effects.py
+++ b/tests/node/test_effects.py
@@ -1,4 +1,4 @@
-"""No effect happens twice: a node that is killed and stopped, and endpoints that fail in random ways."""
+"""No effect happens twice when the node is killed or suspended and endpoints fail in random ways."""
 
 import json
 import random
@@ -12,7 +12,7 @@
 from support.fake_servers import FakeHttpServer, GatedEndpoint
 from support.node_process import NodeProcess, stream_profile, wait_until
 
-ONCE, ZONE, ALL, FREELY = (
+NON_IDEMPOTENT, ZONE, ALL, IDEMPOTENT = (
     EffectRules(True),
     EffectRules(True, "zone", 2.0),
     EffectRules(True, "all", 2.0),
@@ -21,11 +21,16 @@
 
 
 @pytest.mark.parametrize(
-    "rule, calls, notices, said",
+    "rule, calls, notifications, expected_violation",
     [
-        (ONCE, [ReceivedCall(1.0, "e", "k", "a", False), ReceivedCall(2.0, "e", "k", "b", True)], [], None),
         (
-            ONCE,
+            NON_IDEMPOTENT,
+            [ReceivedCall(1.0, "e", "k", "a", False), ReceivedCall(2.0, "e", "k", "b", True)],
+            [],
+            None,
+        ),
+        (
+            NON_IDEMPOTENT,
             [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(2.0, "e", "k", "a", False)],
             [],
             "may have run at 1.000",
@@ -63,40 +68,45 @@
             "handed back, and may have run",
         ),
         (
-            FREELY,
+            IDEMPOTENT,
             [ReceivedCall(1.0, "e", "k", "a", True), ReceivedCall(9.0, "e", "k", "b", True)],
             [(9.5, "e", "handed_back")],
             None,
         ),
         (
-            FREELY,
+            IDEMPOTENT,
             [ReceivedCall(9.0, "e", "k", "b", False)],
             [(8.9, "e", "handed_back")],
             "after it was handed_back",
         ),
     ],
 )
-def test_the_rules_name_each_violation_and_nothing_else(rule, calls, notices, said):
-    found = find_violations(calls, {"e": rule, "f": rule}, notices)
-    assert not found if said is None else any(said in line for line in found), found
+def test_find_violations_reports_exactly_the_violations(rule, calls, notifications, expected_violation):
+    violations = find_violations(calls, {"e": rule, "f": rule}, notifications)
+    assert (
+        not violations
+        if expected_violation is None
+        else any(expected_violation in line for line in violations)
+    ), violations
 
 
 class RandomEndpoint(GatedEndpoint):
-    """An endpoint whose every answer is drawn, and whose calls are noted in the scenario."""
+    """An endpoint with random responses, which records its calls in the scenario."""
 
-    LISTED_RATE = 300.0  # calls/s, so high that trials of a failed endpoint come soon
-    LATE = "late"  # the next attempt meets a full accept queue; its connection comes up a second after that
-    ANSWERS = [200, 500, 503, "reset", None, LATE]
-    ANSWER_WEIGHTS = [4, 2, 4, 3, 5, 3]
+    LISTED_RATE_PER_S = 300.0  # high enough that an endpoint that failed is tried again soon
+    # The accept queue is full, so the next connection is established a second late.
+    LATE_CONNECT = "late"
+    RESPONSES = [200, 500, 503, "reset", None, LATE_CONNECT]
+    RESPONSE_WEIGHTS = [4, 2, 4, 3, 5, 3]
 
     def __init__(self, scenario, seed, zone, **more):
         super().__init__(**more)
         self.scenario = scenario
         self.random = random.Random(seed)
         self.zone = zone
-        self.answer = self._answer
+        self.respond = self._respond_randomly
 
-    def entry(self, state="SERVING", weight=LISTED_RATE):
+    def entry(self, state="SERVING", weight=LISTED_RATE_PER_S):
         return super().entry(state, weight) | {"zone": self.zone}
 
     def toggle(self):
@@ -105,47 +115,48 @@
         else:
             self.resume_accepting()
 
-    def _answer(self, method, target, headers, body):
+    def _respond_randomly(self, method, target, headers, body):
         arrived_at = self.request_arrival.at
         if method == "GET":
             return 200, [], b""
         events = [(headers.get("x-txn"), headers.get("idempotency-key", ""))]
         if target == "/receive-many":
-            events = [(row["id"], row.get("key", "")) for row in json.loads(body)]
+            events = [(event["id"], event.get("key", "")) for event in json.loads(body)]
         with self.scenario.lock:
-            answer = self.random.choices(self.ANSWERS, self.ANSWER_WEIGHTS)[0]
+            response = self.random.choices(self.RESPONSES, self.RESPONSE_WEIGHTS)[0]
             self.scenario.calls += [
-                ReceivedCall(arrived_at, ident, key, self.zone, answer != 503) for ident, key in events
+                ReceivedCall(arrived_at, event_id, key, self.zone, response != 503)
+                for event_id, key in events
             ]
             pause = self.random.choice([0.0, 0.05, 0.4])
-        if answer == self.LATE:
+        if response == self.LATE_CONNECT:
             self.stop_accepting()
             time.sleep(1.15)
             threading.Timer(0.3, self.resume_accepting).start()
             return "reset"
         time.sleep(pause)
-        if len(events) > 1 and answer == 200:
-            answer = 500
-        return (answer, [], b"") if isinstance(answer, int) else answer
+        if len(events) > 1 and response == 200:
+            response = 500
+        return (response, [], b"") if isinstance(response, int) else response
 
 
 class Scenario:
-    """A node, random endpoints in two zones, and clients whose events have every kind of contract."""
+    """A node, random endpoints in two zones, and clients that submit events of each kind of stream type."""
 
     STREAM_TYPES = {
-        "once": (ONCE, stream_profile("once", "fragile", Deadline=6.0)),
+        "once": (NON_IDEMPOTENT, stream_profile("once", "fragile", Deadline=6.0)),
         "zonal": (ZONE, stream_profile("zonal", "dedup", Group="zone", Window=2.0, Deadline=6.0)),
         "wide": (ALL, stream_profile("wide", "dedup", Group="all", Window=2.0, Deadline=6.0)),
-        "notice": (FREELY, stream_profile("notice", "retryable", Deadline=6.0)),
+        "notice": (IDEMPOTENT, stream_profile("notice", "retryable", Deadline=6.0)),
     }
-    DESTINATIONS = 4
+    DESTINATION_COUNT = 4
 
     def __init__(self, folder, seed):
         self.random = random.Random(seed)
         self.lock = threading.Lock()
         self.calls = []
         self.rules = {}
-        self.notifications = []  # (Unix s, event id, outcome)
+        self.notifications = []  # (Unix time in s, event id, outcome)
         self.endpoints = [
             RandomEndpoint(
                 self,
@@ -154,7 +165,7 @@
                 ident=f"s-{number}",
                 cell=1 + number // 3,
             )
-            for number in range(3 * self.DESTINATIONS)
+            for number in range(3 * self.DESTINATION_COUNT)
         ]
         self.node = NodeProcess(
             folder,
@@ -165,45 +176,46 @@
             Localities=["east", "west"],
             Weights="nominal",
         )
-        self._answer_of_discovery = self.node.discovery.answer
-        self.node.discovery.answer = self._receive_notification
+        self._respond_as_discovery = self.node.discovery.respond
+        self.node.discovery.respond = self._receive_notification
 
     def _receive_notification(self, method, target, headers, body):
         discovery = self.node.discovery
         arrived_at = discovery.request_arrival.at
-        before = len(discovery.notifications)
-        answer = self._answer_of_discovery(method, target, headers, body)
+        earlier_count = len(discovery.notifications)
+        response = self._respond_as_discovery(method, target, headers, body)
         with self.lock:
             self.notifications += [
-                (arrived_at, row["message"], row["outcome"]) for row in discovery.notifications[before:]
+                (arrived_at, notification["message"], notification["outcome"])
+                for notification in discovery.notifications[earlier_count:]
             ]
-        return answer
+        return response
 
     def submit(self, number):
         stream_type = self.random.choice(list(self.STREAM_TYPES))
-        ident = f"evt-{number}"
-        self.rules[ident] = self.STREAM_TYPES[stream_type][0]
+        event_id = f"evt-{number}"
+        self.rules[event_id] = self.STREAM_TYPES[stream_type][0]
         self.node.submit(
             stream_type,
-            ident=ident,
+            ident=event_id,
             left="5500m",
-            destination=self.random.randint(1, self.DESTINATIONS),
+            destination=self.random.randint(1, self.DESTINATION_COUNT),
             **{"Idempotency-Key": f"key-{number}"},
         )
 
 
-def test_a_call_arrives_with_its_last_byte_though_its_sender_is_killed_before_it_is_accepted():
-    """The kernel's stamp was that of the close: it made a call seem late by up to two seconds."""
+def test_the_arrival_of_a_call_is_that_of_its_last_byte_if_its_sender_closes_before_it_is_accepted():
+    """The kernel's timestamp was that of the close, so a call seemed to arrive up to two seconds late."""
     arrivals = []
 
-    def answer(*_request):
+    def respond(*_request):
         arrivals.append(server.request_arrival.at)
         return 200, [], b""
 
-    server = FakeHttpServer(answer)
+    server = FakeHttpServer(respond)
     address = server.listener.getsockname()
     server.gate.clear()
-    with socket.create_connection(address):  # the one that is accepted in any case
+    with socket.create_connection(address):  # this connection is accepted although the gate is closed
         wait_until(lambda: server.accepted == 1)
         with socket.create_connection(address) as sender:
             sent_at = time.time()
@@ -215,10 +227,10 @@
 
 
 @pytest.mark.parametrize("seed", [1, 3])
-def test_no_effect_happens_twice_whatever_receivers_and_processes_do(tmp_path, seed):
-    """Attempts whose connection came up late, of a process that stood still or was killed.
+def test_no_effect_happens_twice_when_endpoints_fail_and_the_node_is_suspended_or_killed(tmp_path, seed):
+    """Covers three earlier causes of a repeated effect.
 
-    Each had its turn to break it.
+    They were connections that were established late, a suspended process and a killed process.
     """
     scenario = Scenario(tmp_path, seed)
     with scenario.node as node:
@@ -238,6 +250,6 @@
             endpoint.resume_accepting()
         wait_until(lambda: not node.pending_event_ids(), 12.0)
     calls = scenario.calls
-    repeated = len(calls) - len({call.ident for call in calls})
+    repeated_count = len(calls) - len({call.event_id for call in calls})
     assert not find_violations(calls, scenario.rules, scenario.notifications)
-    assert repeated > 50 and len({call.ident for call in calls if call.ran}) > 100
+    assert repeated_count > 50 and len({call.event_id for call in calls if call.may_have_run}) > 100
--- a/tests/node/test_node_batches.py
+++ b/tests/node/test_node_batches.py
@@ -1,4 +1,4 @@
-"""Several events in one call."""
+"""Batches: calls with several events."""
 
 import json
 
@@ -8,24 +8,27 @@
 REJECTED = (429, [("Retry-After", "0.6")], b"")
 
 
-def batch_answer(states, cut=0):
-    """An answer to a call of several: the states in turn, the last `cut` bytes of it missing."""
+def batch_response(states, missing_bytes=0):
+    """Return a script entry that responds to a batch with these states, in order.
 
-    def answer(body):
-        rows = json.loads(body) if body.startswith(b"[") else None
-        if not isinstance(rows, list):
+    The last `missing_bytes` bytes of the response are omitted. A call with a single event gets a 200.
+    """
+
+    def respond(body):
+        events = json.loads(body) if body.startswith(b"[") else None
+        if not isinstance(events, list):
             return 200
-        said = json.dumps(
-            [{"id": row["id"], "state": state} for row, state in zip(rows, states, strict=False)]
+        text = json.dumps(
+            [{"id": event["id"], "state": state} for event, state in zip(events, states, strict=False)]
         )
-        return 200, [], said[: len(said) - cut].encode()
+        return 200, [], text[: len(text) - missing_bytes].encode()
 
-    return answer
+    return respond
 
 
 def test_each_event_of_a_batch_has_its_own_outcome(tmp_path):
     states = ["done", "failed", "busy", "void", "used_up"]
-    endpoint = FakeEndpoint(REJECTED, batch_answer(states), batch_answer(["done"] * 5))
+    endpoint = FakeEndpoint(REJECTED, batch_response(states), batch_response(["done"] * 5))
     with NodeProcess(tmp_path, endpoint, Domain={"KindBatch": [5]}) as node:
         assert node.submit() == 202
         wait_until(lambda: endpoint.calls)
@@ -33,21 +36,23 @@
             assert node.submit("once", b"\xfe") == 202
         wait_until(lambda: all(node.has_logged_end(f"evt-{i}") for i in range(1, 6)))
         assert endpoint.calls[1][1] == "/receive-many"
-        sent = [row["id"] for row in json.loads(endpoint.calls[1][3])]
-        again = [
-            ident
+        sent = [event["id"] for event in json.loads(endpoint.calls[1][3])]
+        resent = [
+            event_id
             for call in endpoint.calls[2:]
-            for ident in (
-                [call[2]["x-txn"]] if call[1] == "/receive" else [row["id"] for row in json.loads(call[3])]
+            for event_id in (
+                [call[2]["x-txn"]]
+                if call[1] == "/receive"
+                else [event["id"] for event in json.loads(call[3])]
             )
         ]
-        unsafe = sent[1] if sent[1] != "evt-1" else None
-        assert set(again) - {"evt-1"} == {sent[2], sent[4]} - {"evt-1"}
-        assert node.final_outcomes() == ({unsafe: "given_up"} if unsafe else {})
+        abandoned = sent[1] if sent[1] != "evt-1" else None
+        assert set(resent) - {"evt-1"} == {sent[2], sent[4]} - {"evt-1"}
+        assert node.final_outcomes() == ({abandoned: "given_up"} if abandoned else {})
 
 
-def test_after_an_unreadable_answer_each_event_of_a_batch_may_have_run(tmp_path):
-    endpoint = FakeEndpoint(REJECTED, batch_answer(["done"] * 5, cut=3), 200)
+def test_after_an_unreadable_response_each_event_of_a_batch_may_have_run(tmp_path):
+    endpoint = FakeEndpoint(REJECTED, batch_response(["done"] * 5, missing_bytes=3), 200)
     with NodeProcess(tmp_path, endpoint, Domain={"KindBatch": [5]}) as node:
         node.submit("once")
         wait_until(lambda: endpoint.calls)
--- a/tests/node/test_node_configuration.py
+++ b/tests/node/test_node_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration that cannot be used."""
+"""Start of the node with an unusable configuration."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected_error",
     [
         (None, "cannot be read"),
         ("{", "is no JSON"),
@@ -31,15 +31,15 @@
         ),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line_and_code_2(tmp_path, text, said):
+def test_an_unusable_configuration_gives_one_error_line_and_exit_code_2(tmp_path, text, expected_error):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "swiftthread"],
         env=os.environ | {"LB_CONFIG": str(path)},
         capture_output=True,
         timeout=20,
         text=True,
     )
-    assert done.returncode == 2 and said in done.stderr and done.stderr.count("\n") == 1
+    assert process.returncode == 2 and expected_error in process.stderr and process.stderr.count("\n") == 1
--- a/tests/node/test_node_connections.py
+++ b/tests/node/test_node_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: reuse, rejection, and whose they are."""
+"""Connections to endpoints: reuse, rejection, and the endpoint that they belong to."""
 
 import time
 
@@ -7,48 +7,50 @@
 from support.node_process import NodeProcess, wait_until
 
 
-@pytest.mark.parametrize("more", [b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b"\x00noise"])
-@pytest.mark.parametrize("pause", [0.0, 0.05])
-def test_bytes_after_a_good_answer_never_answer_the_next_event(tmp_path, more, pause):
-    def answer(conn):
+@pytest.mark.parametrize("extra_bytes", [b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b"\x00noise"])
+@pytest.mark.parametrize("pause_s", [0.0, 0.05])
+def test_bytes_after_a_response_are_not_taken_for_the_response_to_the_next_event(
+    tmp_path, extra_bytes, pause_s
+):
+    def respond(conn):
         conn.sendall(
             b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Pressure: {\r\nContent-Length: 0\r\n\r\n"
-            + more * (not pause)
+            + extra_bytes * (not pause_s)
         )
-        time.sleep(pause)
-        conn.sendall(more * (pause > 0))
+        time.sleep(pause_s)
+        conn.sendall(extra_bytes * (pause_s > 0))
         time.sleep(3)
 
-    endpoint = FakeEndpoint(*[lambda _body: answer] * 3, 500)
+    endpoint = FakeEndpoint(*[lambda _body: respond] * 3, 500)
     with NodeProcess(tmp_path, endpoint) as node:
         for number in range(1, 5):
             assert node.submit("once") == 202
             wait_until(lambda: node.has_logged_end(f"evt-{number}"))
-            time.sleep(2 * pause)
+            time.sleep(2 * pause_s)
         assert len(endpoint.calls) == endpoint.accepted == 4 and node.final_outcomes() == {
             "evt-4": "given_up"
         }
 
 
-def test_an_endpoint_at_another_s_address_gets_none_of_its_connections(tmp_path):
+def test_an_endpoint_at_the_address_of_a_removed_one_does_not_reuse_its_connections(tmp_path):
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint) as node:
-        for ident in ("s-1", "s-2"):
-            for _ in range(16):  # so busy that connections are kept
+        for endpoint_id in ("s-1", "s-2"):
+            for _ in range(16):  # enough events that connections are pooled
                 assert node.submit() == 202
-            wait_until(lambda: len(endpoint.calls) == (16 if ident == "s-1" else 32))
-            if ident == "s-1":
-                opened = endpoint.accepted
+            wait_until(lambda: len(endpoint.calls) == (16 if endpoint_id == "s-1" else 32))
+            if endpoint_id == "s-1":
+                opened_before = endpoint.accepted
             node.discovery.send_change(endpoint.entry("DELETED"), endpoint.entry() | {"id": "s-2"})
             time.sleep(0.2)
-        assert endpoint.accepted > opened
+        assert endpoint.accepted > opened_before
 
 
-def test_a_rejected_connection_is_no_rejection_by_the_rate_limit(tmp_path):
-    """Endpoints that hold few connections close a new one with a 503.
+def test_a_rejected_connection_does_not_reduce_the_rate(tmp_path):
+    """Endpoints with a low connection limit respond to a new connection with a 503 and close it.
 
-    Were it a refusal, the fifth call would come after the event's time: one in a second halves the two calls
-    a second of one of 200 nodes.
+    If this counted as a rejection by the rate limit, the fifth call would come after the event has expired: a
+    single such rejection per second halves the rate of two calls per second that each of 200 nodes has.
     """
     endpoint = FakeEndpoint(*[(503, [("Connection", "close")], b"")] * 4, 200)
     endpoint.entry = lambda entry=endpoint.entry: entry(weight=40.0)
@@ -58,24 +60,29 @@
         assert node.final_outcomes() == {} and len(endpoint.calls) == 5
 
 
-def test_an_event_whose_connect_failed_may_go_elsewhere(tmp_path):
-    closed, open_ = FakeEndpoint(ident="s-2"), FakeEndpoint()
-    closed.shut_down()
-    with NodeProcess(tmp_path, closed, open_) as node:
+def test_an_event_whose_connect_failed_is_sent_to_another_endpoint(tmp_path):
+    closed_endpoint, open_endpoint = FakeEndpoint(ident="s-2"), FakeEndpoint()
+    closed_endpoint.shut_down()
+    with NodeProcess(tmp_path, closed_endpoint, open_endpoint) as node:
         for number in range(1, 5):
             assert node.submit("once") == 202
-            wait_until(lambda: len(open_.calls) == number)
+            wait_until(lambda: len(open_endpoint.calls) == number)
         assert node.stop() == 0 and node.final_outcomes() == {}
 
 
-def test_an_idle_connection_is_reused_but_not_near_its_idle_timeout(tmp_path):
+def test_an_idle_connection_is_reused_except_near_its_idle_timeout(tmp_path):
     endpoint = FakeEndpoint(idle_s=1.0)
     with NodeProcess(tmp_path, endpoint, Permissions={"Keepalive": 1.0}) as node:
-        opened = []
-        for number, pause in enumerate([0.0] * 80 + [0.9, 0.9], 1):
-            time.sleep(pause)
+        accepted_counts = []
+        for number, pause_s in enumerate([0.0] * 80 + [0.9, 0.9], 1):
+            time.sleep(pause_s)
             assert node.submit("once") == 202
             wait_until(lambda: node.has_logged_end(f"evt-{number}"))
-            opened.append(endpoint.accepted)
-        assert opened[-1] == opened[-2] + 1 == opened[-3] + 2 == opened[-5] + 2
+            accepted_counts.append(endpoint.accepted)
+        assert (
+            accepted_counts[-1]
+            == accepted_counts[-2] + 1
+            == accepted_counts[-3] + 2
+            == accepted_counts[-5] + 2
+        )
         assert (len(endpoint.calls), node.final_outcomes()) == (82, {})
--- a/tests/node/test_node_discovery.py
+++ b/tests/node/test_node_discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the watch, and how it is reopened."""
+"""The endpoint list: its watch, and when the watch is reopened."""
 
 import time
 
@@ -6,7 +6,7 @@
 from support.node_process import NodeProcess, wait_until
 
 
-def test_the_endpoint_list_is_followed_and_a_lost_watch_reopened(tmp_path):
+def test_list_changes_are_applied_and_a_closed_watch_is_reopened(tmp_path):
     old, new = FakeEndpoint(), FakeEndpoint(ident="s-2")
     with NodeProcess(tmp_path, old) as node:
         wait_until(lambda: node.discovery.watches)
@@ -27,7 +27,7 @@
         assert len(new.calls) == len(old.calls) == 1
 
 
-def test_a_malformed_watch_event_leads_to_the_full_list(tmp_path):
+def test_after_a_malformed_watch_event_the_full_list_is_requested(tmp_path):
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint, known=False) as node:
         wait_until(lambda: node.discovery.watches)
@@ -39,7 +39,7 @@
         wait_until(lambda: endpoint.calls)
 
 
-def test_a_silent_watch_is_reopened(tmp_path):
+def test_an_idle_watch_is_reopened(tmp_path):
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint) as node:
         node.discovery.omits_keep_alives = True
--- a/tests/node/test_node_retry_after.py
+++ b/tests/node/test_node_retry_after.py
@@ -1,4 +1,4 @@
-"""Retry-After of an endpoint: it holds for the whole destination."""
+"""The Retry-After of an endpoint applies to its whole destination."""
 
 import socket
 import threading
@@ -13,7 +13,7 @@
 REJECTED = (429, [("Retry-After", "0.6")], b"")
 
 
-def test_retry_after_is_kept_though_its_answer_breaks_off(tmp_path):
+def test_retry_after_of_an_incomplete_response_is_respected(tmp_path):
     endpoint = FakeEndpoint(b"HTTP/1.1 429 Full\r\nRetry-After: 0.7\r\nContent-Length: 9\r\n\r\n", 200)
     with NodeProcess(tmp_path, endpoint) as node:
         assert node.submit() == 202
@@ -21,7 +21,7 @@
         assert endpoint.calls[1][0] - endpoint.calls[0][0] > 0.69
 
 
-def test_retry_after_holds_back_all_events_of_the_destination(tmp_path):
+def test_retry_after_delays_all_events_of_the_destination(tmp_path):
     first, second = FakeEndpoint(REJECTED, 200), FakeEndpoint(REJECTED, 200, ident="s-2")
     with NodeProcess(tmp_path, first, second) as node:
         node.submit()
@@ -30,44 +30,44 @@
             assert node.submit("posting") == 202
         wait_until(lambda: len(first.calls) + len(second.calls) >= 6)
         times = sorted(call[0] for call in first.calls + second.calls)
-        waits = [at for at in times[1:] if at - times[0] < 0.6]
-        assert not waits
+        sent_too_early = [at for at in times[1:] if at - times[0] < 0.6]
+        assert not sent_too_early
 
 
-def test_a_call_whose_connect_takes_long_is_not_sent_before_a_later_retry_after(tmp_path):
-    def order(ident):
-        return Endpoint(ident, 0, Destination(1), 0).rank
+def test_a_call_with_a_slow_connect_is_not_sent_before_a_retry_after_received_meanwhile(tmp_path):
+    def rank(endpoint_id):
+        return Endpoint(endpoint_id, 0, Destination(1), 0).rank
 
-    first, second = sorted(("s-1", "s-2"), key=order)
-    gate = threading.Event()
+    first, second = sorted(("s-1", "s-2"), key=rank)
+    may_accept = threading.Event()
 
     class LateAcceptingEndpoint(FakeEndpoint):
         def _accept(self):
-            gate.wait()
+            may_accept.wait()
             super()._accept()
 
-    answer_now = threading.Event()
-    answers = FakeEndpoint(
-        lambda body: answer_now.wait() and (429, [("Retry-After", "1.8")], b""), 200, ident=first
+    may_respond = threading.Event()
+    rejecting = FakeEndpoint(
+        lambda body: may_respond.wait() and (429, [("Retry-After", "1.8")], b""), 200, ident=first
     )
     slow = LateAcceptingEndpoint(ident=second)
-    slow.listener.listen(0)  # its queue is full until it accepts: the next connect comes up a second later
+    slow.listener.listen(0)  # its accept queue is full until it accepts: the next connect takes a second
     fillers = [socket.socket() for _ in range(3)]
     for filler in fillers:
         filler.setblocking(False)
         filler.connect_ex(slow.listener.getsockname())
-    with NodeProcess(tmp_path, answers, slow, Permissions={"ConnectTimeout": 4.0, "Probes": False}) as node:
+    with NodeProcess(tmp_path, rejecting, slow, Permissions={"ConnectTimeout": 4.0, "Probes": False}) as node:
         assert [node.submit(left="5000m"), node.submit(left="5000m")] == [202, 202]
         wait_until(
             lambda: (
                 b'O["evt-1"' in node.log_path().read_bytes() and b'O["evt-2"' in node.log_path().read_bytes()
             )
         )
-        told_at = time.monotonic()
-        answer_now.set()
-        gate.set()
-        wait_until(lambda: len(answers.calls) + len(slow.calls) == 3)
-        later = [at for at, *_ in answers.calls[1:] + slow.calls]
-        assert all(at >= told_at + 1.8 for at in later)
+        rejected_at = time.monotonic()
+        may_respond.set()
+        may_accept.set()
+        wait_until(lambda: len(rejecting.calls) + len(slow.calls) == 3)
+        later_calls = [at for at, *_ in rejecting.calls[1:] + slow.calls]
+        assert all(at >= rejected_at + 1.8 for at in later_calls)
     for filler in fillers:
         filler.close()
--- a/tests/node/test_node_shutdown_and_restart.py
+++ b/tests/node/test_node_shutdown_and_restart.py
@@ -1,4 +1,4 @@
-"""Signals, shutdown and restart of a node's process, and what is owed in that instant."""
+"""Signals, shutdown and restart of a node, with events or notifications pending."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGINT])
-def test_a_signal_before_the_configuration_is_read_ends_in_order(tmp_path, signal_number):
+def test_a_signal_before_the_configuration_is_read_leads_to_a_clean_exit(tmp_path, signal_number):
     node = NodeProcess(tmp_path, FakeEndpoint())
     pipe = tmp_path / "pipe"
     os.mkfifo(pipe)
@@ -44,7 +44,7 @@
     assert "stopped; 0 events" in log and "Traceback" not in log
 
 
-def test_signals_again_and_again_until_the_exit_end_it_no_other_way(tmp_path):
+def test_repeated_signals_until_the_exit_do_not_disturb_the_shutdown(tmp_path):
     with NodeProcess(tmp_path, FakeEndpoint()) as node:
         assert node.submit() == 202
         began_at = time.monotonic()
@@ -52,11 +52,11 @@
             assert time.monotonic() - began_at < 10.0
             for signal_number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT):
                 node.process.send_signal(signal_number)
-            select.select([], [], [], 0.002)  # a storm would keep it from its work
+            select.select([], [], [], 0.002)  # without a pause the node would only handle signals
         assert node.process.returncode == 0 and not node.pending_event_ids()
 
 
-def test_a_decision_whose_notification_is_not_answered_outlasts_a_shutdown(tmp_path):
+def test_a_decision_is_notified_after_a_shutdown_if_discovery_had_not_confirmed_it(tmp_path):
     with NodeProcess(tmp_path, FakeEndpoint(500)) as node:
         node.discovery.failing_notification_count = 10**6
         assert node.submit("once") == 202
@@ -67,8 +67,8 @@
         wait_until(lambda: node.final_outcomes() == {"evt-1": "given_up"} and not node.pending_event_ids())
 
 
-def test_pending_events_without_an_attempt_are_sent_after_a_restart_though_no_list_is_known_yet(tmp_path):
-    """The operators' term: giving such events up without a call fails the day."""
+def test_pending_events_are_sent_after_a_restart_without_an_endpoint_list(tmp_path):
+    """The operators require that events without an attempt are not given up without a call."""
     endpoint = FakeEndpoint(None)
     with NodeProcess(tmp_path, endpoint, Domain={"CallsOut": 1}, Permissions={"MaxOpen": 24}) as node:
         assert [node.submit("notice", left="5000m") for _ in range(20)] == [202] * 20
@@ -89,17 +89,17 @@
         )
 
 
-def test_the_result_of_an_event_whose_call_gets_no_answer_is_notified_before_its_time_is_up(tmp_path):
+def test_an_event_without_a_response_is_notified_before_it_expires(tmp_path):
     with NodeProcess(tmp_path, FakeEndpoint(None)) as node:
         was_notified = threading.Event()
-        answer = node.discovery.answer
+        respond = node.discovery.respond
 
-        def answer_and_note(method, *rest):
+        def respond_and_record(method, *rest):
             if method == "POST":
                 was_notified.set()
-            return answer(method, *rest)
+            return respond(method, *rest)
 
-        node.discovery.answer = answer_and_note
+        node.discovery.respond = respond_and_record
         expires_at = time.time() + 1.2
         assert node.submit("once", left="1200m") == 202
         assert was_notified.wait(5.0) and time.time() < expires_at + 0.001
--- a/tests/node/test_node_submission.py
+++ b/tests/node/test_node_submission.py
@@ -1,4 +1,4 @@
-"""Submissions of clients: what is accepted, and how the rest is answered."""
+"""Submissions of clients: which are accepted, and which responses the others get."""
 
 import pytest
 from support.fake_servers import FakeEndpoint
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, status",
+    "request_bytes, status",
     [
         (b"nonsense\r\n\r\n", 400),
         (b"POST /notice HTTP/1.1\r\nHost: n\r\nX: " + b"y" * 40000, 431),
@@ -25,13 +25,13 @@
         (b"GET /elsewhere HTTP/1.1\r\nHost: n\r\n\r\n", 404),
     ],
 )
-def test_malformed_requests_get_a_plain_answer(node, data, status):
-    assert int(node.raw(data).split()[1]) == status
+def test_malformed_requests_get_an_error_status(node, request_bytes, status):
+    assert int(node.raw(request_bytes).split()[1]) == status
     assert node.submit() == 202
 
 
 @pytest.mark.parametrize(
-    "change, status",
+    "changed_header, status",
     [
         ({"X-Remaining": "soon"}, 400),
         ({"X-Remaining": None}, 400),
@@ -47,42 +47,42 @@
         ({"X-Remaining": "-5m"}, 400),
     ],
 )
-def test_headers_that_cannot_be_used_are_rejected_for_good(node, change, status):
-    assert node.submit(body=b"of no use", **change) == status
+def test_invalid_headers_are_rejected_with_400(node, changed_header, status):
+    assert node.submit(body=b"of no use", **changed_header) == status
     assert b"of no use" not in node.log_path().read_bytes()
 
 
-def test_half_a_request_and_a_client_that_is_gone_leave_no_trace(node):
-    for part in (1, 40, -1):
+def test_an_incomplete_request_is_not_logged(node):
+    for byte_count in (1, 40, -1):
         with node.open() as conn:
-            conn.sendall(node.submission_request(body=b"half of it")[:part])
+            conn.sendall(node.submission_request(body=b"half of it")[:byte_count])
     with node.open() as conn:
         assert exchange(conn, node.submission_request(body=b"half of it")[:-1]).startswith(b"HTTP/1.1 408")
     assert node.submit() == 202 and b"half of" not in node.log_path().read_bytes()
 
 
-def test_an_unknown_destination_is_rejected_until_the_list_names_it(node):
+def test_an_unknown_destination_is_rejected_until_an_endpoint_list_contains_it(node):
     assert b"\r\nRetry-After: 0.500\r\n" in node.raw(
         node.submission_request(destination=99, body=b"of no use")
     )
     assert node.submit(destination=99) == 503 and b"of no use" not in node.log_path().read_bytes()
-    late = FakeEndpoint(ident="s-99", cell=99)
+    new_endpoint = FakeEndpoint(ident="s-99", cell=99)
     wait_until(lambda: node.discovery.watches)
-    node.discovery.send_change(late.entry())
+    node.discovery.send_change(new_endpoint.entry())
     wait_until(lambda: node.submit(destination=99) == 202)
-    wait_until(lambda: late.calls)
+    wait_until(lambda: new_endpoint.calls)
 
 
-def test_a_request_inside_the_body_of_another_is_never_accepted(node):
-    inner = node.submission_request(ident="hidden")
-    head = node.submission_request(
-        body=b"0\r\n\r\n" + inner, ident="outer", **{"Transfer-Encoding": "chunked"}
+def test_a_request_hidden_in_the_body_of_another_is_not_accepted(node):
+    hidden_request = node.submission_request(ident="hidden")
+    request = node.submission_request(
+        body=b"0\r\n\r\n" + hidden_request, ident="outer", **{"Transfer-Encoding": "chunked"}
     )
-    assert node.raw(head).startswith(b"HTTP/1.1 400") and node.submit() == 202
+    assert node.raw(request).startswith(b"HTTP/1.1 400") and node.submit() == 202
     assert b"hidden" not in node.log_path().read_bytes() and b"outer" not in node.log_path().read_bytes()
 
 
-def test_an_error_reaches_a_client_that_still_sends_sixty_megabytes(node):
+def test_a_client_gets_the_error_although_it_still_sends_sixty_megabytes(node):
     with node.open() as conn:
         conn.sendall(node.submission_request(**{"Content-Length": 60_000_000}))
         for _ in range(60):
@@ -91,7 +91,7 @@
     assert node.submit() == 202
 
 
-def test_a_submission_repeated_when_its_event_has_ended_is_the_same_event(node):
+def test_a_submission_repeated_after_the_final_outcome_is_not_sent_again(node):
     for _ in range(2):
         assert node.submit("once", ident="crossed") == 202
         wait_until(lambda: node.has_logged_end("crossed"))
@@ -103,7 +103,7 @@
     wait_until(lambda: node.has_logged_end("i" * 200))
 
 
-def test_several_requests_on_one_connection(node):
+def test_several_requests_on_one_connection_are_accepted(node):
     with node.open() as conn:
         for _ in range(3):
             assert exchange(conn, node.submission_request()).startswith(b"HTTP/1.1 202")
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What the tests share: fake servers, the node as a process, and simulated nodes."""
+"""Helpers shared by the tests: fake servers, the node as a process, and simulated nodes."""
--- a/tests/support/clock_shim.c
+++ b/tests/support/clock_shim.c
@@ -1,5 +1,7 @@
-/* Preloaded into a node: steps its wall clock by the nanoseconds that stand in the file CLOCK_SHIM_FILE.
-   The monotonic clock is left alone. The kernel's receive stamps move with the wall clock, as after a real step. */
+/* A library that is preloaded into a node and steps its wall clock.
+   The file CLOCK_SHIM_FILE holds the offset from the true time in nanoseconds, as a signed 64-bit integer. The
+   monotonic clock is not changed. The kernel's receive timestamps are shifted together with the wall clock, as
+   they are after a real step. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -13,35 +15,35 @@
 
 #define NANOSECONDS_PER_SECOND 1000000000LL
 
-static volatile int64_t *offset;
+static volatile int64_t *offset_ns;
 static int (*real_clock_gettime)(clockid_t, struct timespec *);
 static ssize_t (*real_recvmsg)(int, struct msghdr *, int);
 
 __attribute__((constructor)) static void open_offset(void) {
     int descriptor = open(getenv("CLOCK_SHIM_FILE"), O_RDONLY);
-    offset = mmap(NULL, sizeof *offset, PROT_READ, MAP_SHARED, descriptor, 0);
+    offset_ns = mmap(NULL, sizeof *offset_ns, PROT_READ, MAP_SHARED, descriptor, 0);
     close(descriptor);
     real_clock_gettime = dlsym(RTLD_NEXT, "clock_gettime");
     real_recvmsg = dlsym(RTLD_NEXT, "recvmsg");
 }
 
-static void step(struct timespec *moment) {
-    int64_t total = moment->tv_sec * NANOSECONDS_PER_SECOND + moment->tv_nsec + *offset;
-    moment->tv_sec = total / NANOSECONDS_PER_SECOND;
-    moment->tv_nsec = total % NANOSECONDS_PER_SECOND;
+static void add_offset(struct timespec *timestamp) {
+    int64_t total_ns = timestamp->tv_sec * NANOSECONDS_PER_SECOND + timestamp->tv_nsec + *offset_ns;
+    timestamp->tv_sec = total_ns / NANOSECONDS_PER_SECOND;
+    timestamp->tv_nsec = total_ns % NANOSECONDS_PER_SECOND;
 }
 
-int clock_gettime(clockid_t clock, struct timespec *moment) {
-    int result = real_clock_gettime(clock, moment);
-    if (!result && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) step(moment);
+int clock_gettime(clockid_t clock, struct timespec *timestamp) {
+    int result = real_clock_gettime(clock, timestamp);
+    if (!result && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) add_offset(timestamp);
     return result;
 }
 
-int gettimeofday(struct timeval *restrict moment, void *restrict zone) {
+int gettimeofday(struct timeval *restrict timestamp, void *restrict zone) {
     struct timespec now;
     clock_gettime(CLOCK_REALTIME, &now);
-    moment->tv_sec = now.tv_sec;
-    moment->tv_usec = now.tv_nsec / 1000;
+    timestamp->tv_sec = now.tv_sec;
+    timestamp->tv_usec = now.tv_nsec / 1000;
     return 0;
 }
 
@@ -55,8 +57,8 @@
 ssize_t recvmsg(int descriptor, struct msghdr *message, int flags) {
     ssize_t result = real_recvmsg(descriptor, message, flags);
     if (result < 0) return result;
-    for (struct cmsghdr *part = CMSG_FIRSTHDR(message); part; part = CMSG_NXTHDR(message, part))
-        if (part->cmsg_level == SOL_SOCKET && part->cmsg_type == SCM_TIMESTAMPNS)
-            step((struct timespec *)CMSG_DATA(part));
+    for (struct cmsghdr *header = CMSG_FIRSTHDR(message); header; header = CMSG_NXTHDR(message, header))
+        if (header->cmsg_level == SOL_SOCKET && header->cmsg_type == SCM_TIMESTAMPNS)
+            add_offset((struct timespec *)CMSG_DATA(header));
     return result;
 }
--- a/tests/support/cold_destination.py
+++ b/tests/support/cold_destination.py
@@ -1,4 +1,4 @@
-"""A destination under a fleet's calls: an outage, its return cold, and the count of the slow-start budget."""
+"""A destination that a fleet calls: its outage, its warm-up and the check of the warm-up budget."""
 
 import math
 from dataclasses import dataclass, field
@@ -10,36 +10,42 @@
 from swiftthread.routing.messages import SendOutcome
 from swiftthread.routing.settings import StreamType
 
-IMMEDIATE_RESPONSE_MS = 40.0  # an answer without work: a rejection, an error or a refused connection
+IMMEDIATE_RESPONSE_MS = 40.0  # latency of a rejection, an error or a refused connection
 CONNECT_TIMEOUT_MS = 1500.0
-MEAN_SERVICE_MS = 120.0  # mean of a call's work while warm
-NETWORK_MS = 30.0  # both ways
-MIN_BURST_MS = 400.0  # by which calls may come early at the limit
-BURST_INTERVALS = 1.5  # the same in emission intervals; the longer of both holds
+MEAN_SERVICE_MS = 120.0  # of a call at full capacity
+NETWORK_ROUND_TRIP_MS = 30.0
+# The burst tolerance of the rate limit is the longer of these two.
+MIN_BURST_TOLERANCE_MS = 400.0
+BURST_TOLERANCE_INTERVALS = 1.5  # emission intervals
 RETRY_AFTER_MS = 500.0
-REJECTED_CONNECTION_SHARE = 0.85  # of the calls, where the table of connections stays full
-RETRY_AFTER_SHARE = 0.6  # of rejections, where the destination tells a wait at all
-FAILING_SHARE = 0.95  # of calls in an outage by errors
-MIN_AWARE_SHARE = 2 / 3  # of an overload, from which it is the nodes' fault
+REJECTED_CONNECTION_SHARE = 0.85  # of the calls while the connection limit is reached
+RETRY_AFTER_SHARE = 0.6  # of the rejections, if the destination sends Retry-After at all
+FAILING_SHARE = 0.95  # of the calls in an outage in which calls fail
+# An overload counts as a fault of the nodes if more than this share of its calls came from nodes that had
+# noticed the outage.
+MIN_AWARE_SHARE = 2 / 3
 OVERLOAD_MULTIPLE = 2.0
 WINDOW_MS = 2000.0
 
 
 class Outage(StrEnum):
-    """How a destination is out."""
+    """How a destination behaves while it is down."""
 
     REFUSES_CONNECTIONS = "refuses connections"
-    NEVER_RESPONDS = "hangs"
-    CONNECT_TIMES_OUT = "vanishes"
+    NEVER_RESPONDS = "never responds"
+    CONNECT_TIMES_OUT = "lets connection attempts time out"
     FAILS_MOST_CALLS = "fails most calls"
     REJECTS_ALL_CALLS = "rejects all calls"
-    REJECTS_CALLS_AND_CONNECTIONS = "rejects all calls, most of them with their new connection"
+    REJECTS_CALLS_AND_CONNECTIONS = "rejects all calls, most of them by rejecting the connection"
     REJECTS_WITH_RETRY_AFTER = "rejects all calls, some with a Retry-After"
 
 
 @dataclass(frozen=True, kw_only=True)
 class RecoveryScenario:
-    """One destination, its outage and the fleet that calls it. Times in ms."""
+    """One destination, its outage and the fleet that calls it.
+
+    Times are in ms since the start of the simulation.
+    """
 
     node_count: int = 40
     limit_per_s: float = 3.0
@@ -50,35 +56,41 @@
     warm_up_ms: float = 9500.0
     cold_capacity_share: float = 0.15
     load_share: float = 0.8
-    """Events a second, as a share of the limit of all routes."""
+    """Events per second, as a share of the total rate limit of all routes."""
     restarted_share: float = 0.0
-    """Of the nodes, killed and started again at some moment of the outage."""
+    """Share of the nodes that are killed and restarted at a random time during the outage."""
 
     @property
     def outage_ends_at(self):
-        """When it returns."""
+        """Time at which the destination recovers."""
         return self.outage_begins_at + self.outage_ms
 
-    def warm_up_budget(self, at):
-        """Calls that the settings allow in the window that ends `at` ms after the return."""
-        middle = max(0.0, at - WINDOW_MS / 2)
-        share = min(1.0, self.cold_capacity_share + (1 - self.cold_capacity_share) * middle / self.warm_up_ms)
+    def warm_up_budget(self, end_ms):
+        """Return the calls that the settings allow in the window that ends `end_ms` after the recovery."""
+        middle_ms = max(0.0, end_ms - WINDOW_MS / 2)
+        share = min(
+            1.0, self.cold_capacity_share + (1 - self.cold_capacity_share) * middle_ms / self.warm_up_ms
+        )
         return OVERLOAD_MULTIPLE * self.limit_per_s / 1000.0 * share * WINDOW_MS
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A call or health check after the return, `at` ms after it."""
+    """A call or health check, and how long after the recovery it arrived."""
 
-    at: float
+    after_recovery_ms: float
     node: int
 
 
 @dataclass(frozen=True)
 class Overload:
-    """More calls in a window than the budget and its slack, most of them by nodes told of the outage."""
+    """A window with more calls than the overload threshold of its budget.
 
-    at: float
+    Most of them came from nodes that had noticed the outage. `end_ms` is the end of the window,
+    counted from the recovery.
+    """
+
+    end_ms: float
     calls: int
     aware_calls: int
     budget: float
@@ -86,16 +98,19 @@
 
 @dataclass
 class RecoveringRoute:
-    """One route: takes calls up to its limit, is out for a while, and comes back with less capacity."""
+    """A route that accepts calls up to its rate limit, has an outage and recovers with reduced capacity.
+
+    `aware_nodes` are the nodes with an unsuccessful call or health check during the outage.
+    """
 
     scenario: RecoveryScenario
-    chance: Random
+    rng: Random
     aware_nodes: set[int] = field(default_factory=set)
     arrivals: list[Arrival] = field(default_factory=list)
     next_slot_at: float = -math.inf
 
     def close(self, node):
-        """Close a node's idle connection; there is no bound on them."""
+        """Close the idle connection of a node. This does nothing: the number of connections is unlimited."""
 
     def respond(self, node, now):
         if self.scenario.outage_begins_at <= now < self.scenario.outage_ends_at:
@@ -103,15 +118,17 @@
         if now >= self.scenario.outage_ends_at:
             self.arrivals.append(Arrival(now - self.scenario.outage_ends_at, node))
         capacity_share = self._capacity_share(now)
-        interval = 1000.0 / self.scenario.limit_per_s / capacity_share
+        interval_ms = 1000.0 / self.scenario.limit_per_s / capacity_share
         slot_at = max(now, self.next_slot_at)
-        if slot_at - now > max(MIN_BURST_MS, BURST_INTERVALS * interval):
+        if slot_at - now > max(MIN_BURST_TOLERANCE_MS, BURST_TOLERANCE_INTERVALS * interval_ms):
             return IMMEDIATE_RESPONSE_MS, SendOutcome.RATE_LIMITED
-        self.next_slot_at = slot_at + interval
-        return self.chance.expovariate(1 / MEAN_SERVICE_MS) / capacity_share + NETWORK_MS, SendOutcome.ACKED
+        self.next_slot_at = slot_at + interval_ms
+        return self.rng.expovariate(
+            1 / MEAN_SERVICE_MS
+        ) / capacity_share + NETWORK_ROUND_TRIP_MS, SendOutcome.ACKED
 
     def _respond_in_outage(self, node):
-        if self.scenario.outage == Outage.FAILS_MOST_CALLS and self.chance.random() > FAILING_SHARE:
+        if self.scenario.outage == Outage.FAILS_MOST_CALLS and self.rng.random() > FAILING_SHARE:
             return IMMEDIATE_RESPONSE_MS, SendOutcome.ACKED
         self.aware_nodes.add(node)
         match self.scenario.outage:
@@ -121,9 +138,9 @@
                 return CONNECT_TIMEOUT_MS, SendOutcome.UNREACHABLE
             case Outage.FAILS_MOST_CALLS:
                 return IMMEDIATE_RESPONSE_MS, SendOutcome.FAILED
-            case Outage.REJECTS_CALLS_AND_CONNECTIONS if self.chance.random() < REJECTED_CONNECTION_SHARE:
+            case Outage.REJECTS_CALLS_AND_CONNECTIONS if self.rng.random() < REJECTED_CONNECTION_SHARE:
                 return IMMEDIATE_RESPONSE_MS, SendOutcome.CONNECTION_LIMIT
-            case Outage.REJECTS_WITH_RETRY_AFTER if self.chance.random() < RETRY_AFTER_SHARE:
+            case Outage.REJECTS_WITH_RETRY_AFTER if self.rng.random() < RETRY_AFTER_SHARE:
                 return IMMEDIATE_RESPONSE_MS, SendOutcome.RATE_LIMITED, RETRY_AFTER_MS
             case (
                 Outage.REJECTS_ALL_CALLS
@@ -131,7 +148,7 @@
                 | Outage.REJECTS_WITH_RETRY_AFTER
             ):
                 return IMMEDIATE_RESPONSE_MS, SendOutcome.RATE_LIMITED
-        return None  # it hangs
+        return None  # no response
 
     def _capacity_share(self, now):
         scenario = self.scenario
@@ -144,22 +161,26 @@
         )
 
     def overloads(self):
-        """Overloads while it warms up."""
+        """Yield the overloads during the warm-up."""
         window = []
         for arrival in self.arrivals:
-            window = [earlier for earlier in window if earlier.at >= arrival.at - WINDOW_MS] + [arrival]
+            window = [
+                earlier
+                for earlier in window
+                if earlier.after_recovery_ms >= arrival.after_recovery_ms - WINDOW_MS
+            ] + [arrival]
             aware_calls = sum(call.node in self.aware_nodes for call in window)
-            budget = self.scenario.warm_up_budget(arrival.at)
+            budget = self.scenario.warm_up_budget(arrival.after_recovery_ms)
             if (
-                arrival.at < self.scenario.warm_up_ms
+                arrival.after_recovery_ms < self.scenario.warm_up_ms
                 and len(window) > overload_threshold(budget)
                 and aware_calls > MIN_AWARE_SHARE * len(window)
             ):
-                yield Overload(arrival.at, len(window), aware_calls, budget)
+                yield Overload(arrival.after_recovery_ms, len(window), aware_calls, budget)
 
-    def calls_within(self, begin, end):
-        """How many calls came from `begin` to `end` ms after the return."""
-        return sum(begin <= arrival.at < end for arrival in self.arrivals)
+    def calls_within(self, begin_ms, end_ms):
+        """Return how many calls arrived between `begin_ms` and `end_ms` after the recovery."""
+        return sum(begin_ms <= arrival.after_recovery_ms < end_ms for arrival in self.arrivals)
 
 
 STREAM_TYPES = [
@@ -169,13 +190,16 @@
 
 
 def simulate_recovery(scenario, seed):
-    """The routes of one destination after a fleet has met its outage and its return.
+    """Simulate the outage and the recovery of a destination that a fleet calls, and return its routes.
 
-    Events come by chance; some nodes get several times as many as others.
+    Events arrive at random times; some nodes get several times as many as others.
     """
-    chance = Random(seed)
-    routes = {f"s-{number}": RecoveringRoute(scenario, chance) for number in range(scenario.route_count)}
-    entries = [(ident, 0, number % 2, 0, scenario.limit_per_s, True) for number, ident in enumerate(routes)]
+    rng = Random(seed)
+    routes = {f"s-{number}": RecoveringRoute(scenario, rng) for number in range(scenario.route_count)}
+    entries = [
+        (endpoint_id, 0, number % 2, 0, scenario.limit_per_s, True)
+        for number, endpoint_id in enumerate(routes)
+    ]
     fleet = Fleet(
         scenario.node_count,
         entries,
@@ -191,20 +215,20 @@
         max_pending_events=49,
         may_send_health_checks=True,
     )
-    for member in fleet.nodes:
-        member.session.router.random_uniform = Random(f"{seed} {member.number}").uniform
-    shares = [chance.lognormvariate(0.0, 0.7) for _ in fleet.nodes]
+    for node in fleet.nodes:
+        node.session.router.random_uniform = Random(f"{seed} {node.number}").uniform
+    load_shares = [rng.lognormvariate(0.0, 0.7) for _ in fleet.nodes]
     end = scenario.outage_ends_at + scenario.warm_up_ms
-    ticket, moment = 0, 0.0
-    while moment < end:
+    ticket, submitted_at = 0, 0.0
+    while submitted_at < end:
         ticket += 1
-        moment += chance.expovariate(
+        submitted_at += rng.expovariate(
             scenario.load_share * scenario.limit_per_s * scenario.route_count / 1000.0
         )
-        member = chance.choices(fleet.nodes, shares)[0]
-        member.schedule(moment, member.submit, ticket, 0, chance.randrange(len(STREAM_TYPES)))
-    for member in chance.sample(fleet.nodes, int(scenario.restarted_share * scenario.node_count)):
-        restarts_at = scenario.outage_begins_at + chance.uniform(0.2, 1.0) * scenario.outage_ms
-        member.schedule(restarts_at, member.restart, entries)
+        node = rng.choices(fleet.nodes, load_shares)[0]
+        node.schedule(submitted_at, node.submit, ticket, 0, rng.randrange(len(STREAM_TYPES)))
+    for node in rng.sample(fleet.nodes, int(scenario.restarted_share * scenario.node_count)):
+        restarts_at = scenario.outage_begins_at + rng.uniform(0.2, 1.0) * scenario.outage_ms
+        node.schedule(restarts_at, node.restart, entries)
     fleet.run_until(end)
     return list(routes.values())
--- a/tests/support/fake_servers.py
+++ b/tests/support/fake_servers.py
@@ -13,18 +13,19 @@
 
 from swiftthread.network.timestamps import ANCILLARY_BYTES, SO_TIMESTAMPNS, TIMESPEC
 
-PEER_CLOSED_STATES = (7, 8)  # Linux, tcp_info: CLOSE, CLOSE_WAIT
-LAST_DATA_AGE_MS = struct.Struct("I")  # tcp_info's tcpi_last_data_recv
+PEER_CLOSED_STATES = (7, 8)  # CLOSE and CLOSE_WAIT in Linux's tcp_info
+LAST_DATA_AGE_MS = struct.Struct("I")  # tcpi_last_data_recv in tcp_info
 LAST_DATA_AGE_OFFSET = 52
 LAST_DATA_AGE_END = LAST_DATA_AGE_OFFSET + LAST_DATA_AGE_MS.size
 
 
 def last_data_at_before_close(conn):
-    """Unix s at which the last data came on a connection that its peer has closed; inf while it is open.
+    """Return the Unix time in s of the last data on a connection that its peer has closed.
 
-    The kernel stamps unread data anew when the peer's close joins it, which may be seconds later: a process
-    was killed whose call waited to be accepted. `tcpi_last_data_recv` is about data alone, in the kernel's
-    ticks.
+    The result is inf while the connection is open. When the peer's close joins unread data, the kernel gives
+    that data a new timestamp. This may happen seconds after the data arrived, for example if the sending
+    process is killed while its call waits to be accepted. `tcpi_last_data_recv` refers only to data; its
+    resolution is the kernel's timer tick.
     """
     state_and_age = conn.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_AGE_END)
     if state_and_age[0] not in PEER_CLOSED_STATES:
@@ -34,23 +35,25 @@
 
 
 class FakeHttpServer:
-    """An HTTP/1.1 server of threads.
+    """An HTTP/1.1 server with one thread per connection.
 
-    `answer(method, target, headers, body)` gives (status, headers, body), or None for silence, "reset" for a
-    reset after the last byte, or bytes to write as they are.
+    `respond(method, target, headers, body)` returns (status, headers, body), None to send no response,
+    "reset" to reset the connection after the last byte of the request, bytes to send unchanged, or a function
+    that is called with the connection.
     """
 
-    def __init__(self, answer, idle_s=None):
-        self.answer = answer
+    def __init__(self, respond, idle_s=None):
+        self.respond = respond
         self.idle_s = idle_s
         self.accepted = 0
         self.conns = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)  # accepted connections inherit it
-        # `at`: Unix s at which the kernel had the last byte of the request that this thread answers.
+        # `at` is the Unix time in s at which the kernel received the last byte of the request that this
+        # thread serves.
         self.request_arrival = threading.local()
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        # While it is not set no connection is accepted, but for one that `accept` waits for already.
+        # While this event is not set, no connection is accepted, except one for which `accept` already waits.
         self.gate = threading.Event()
         self.gate.set()
         threading.Thread(target=self._accept, daemon=True).start()
@@ -90,39 +93,40 @@
             conn.close()
 
     def _recv(self, conn):
-        data, notes, _, _ = conn.recvmsg(65536, ANCILLARY_BYTES)
-        for level, kind, stamp in notes:
+        data, ancillary_data, _, _ = conn.recvmsg(65536, ANCILLARY_BYTES)
+        for level, kind, timestamp in ancillary_data:
             if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
-                seconds, nanos = TIMESPEC.unpack(stamp)
-                self.request_arrival.at = min(seconds + nanos / 1e9, last_data_at_before_close(conn))
+                seconds, nanoseconds = TIMESPEC.unpack(timestamp)
+                self.request_arrival.at = min(seconds + nanoseconds / 1e9, last_data_at_before_close(conn))
         return data
 
     def _reply(self, conn, parser, request, body):
         headers = {name.decode(): value.decode() for name, value in request.headers}
-        said = self.answer(request.method.decode(), request.target.decode(), headers, body)
-        if said is None:
+        response = self.respond(request.method.decode(), request.target.decode(), headers, body)
+        if response is None:
             conn.settimeout(30)
-            conn.recv(1)  # until the peer gives up
-        elif said == "reset":
+            conn.recv(1)  # returns when the peer closes the connection
+        elif response == "reset":
             conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        elif isinstance(said, bytes):
-            conn.sendall(said)
-        elif callable(said):
-            said(conn)
+        elif isinstance(response, bytes):
+            conn.sendall(response)
+        elif callable(response):
+            response(conn)
         else:
-            status, head, text = said
-            head = [*head, ("Content-Length", str(len(text)))]
+            status, response_headers, response_body = response
+            response_headers = [*response_headers, ("Content-Length", str(len(response_body)))]
             conn.sendall(
-                parser.send(h11.Response(status_code=status, headers=head))
-                + parser.send(h11.Data(data=text))
+                parser.send(h11.Response(status_code=status, headers=response_headers))
+                + parser.send(h11.Data(data=response_body))
                 + parser.send(h11.EndOfMessage())
             )
             return True
         return False
 
     def shut_down(self):
-        """Shut the connections down, and accept no more."""
-        self.listener.shutdown(socket.SHUT_RDWR)  # a close alone leaves a blocked accept to take one more
+        """Shut down all connections, and accept no new ones."""
+        # After a close alone, a blocked accept would accept one more connection.
+        self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         for conn in self.conns:
             with contextlib.suppress(OSError):
@@ -130,13 +134,15 @@
 
 
 class FakeEndpoint(FakeHttpServer):
-    """An endpoint that answers as a script says: an entry for each call, the last for all that follow.
+    """An endpoint that responds as a script says.
 
-    `calls` keeps them as (monotonic s, target, headers, body).
+    The script has one entry per call; the last entry is used for all further calls. An entry is a status, a
+    function of the body, or a response as in FakeHttpServer. `calls` lists the calls as (monotonic time in s,
+    target, headers, body).
     """
 
     def __init__(self, *script, ident="s-1", cell=1, **more):
-        super().__init__(self._call, **more)
+        super().__init__(self._handle_request, **more)
         self.ident = ident
         self.cell = cell
         self.script = list(script) or [200]
@@ -144,7 +150,7 @@
         self.health_check_count = 0
 
     def entry(self, state="SERVING", weight=0.0):
-        """The endpoint as an entry of discovery's list."""
+        """Return the endpoint's entry in discovery's endpoint list."""
         return {
             "id": self.ident,
             "addr": self.address,
@@ -156,30 +162,30 @@
             "started_ms": 0,
         }
 
-    def _call(self, method, target, headers, body):
+    def _handle_request(self, method, target, headers, body):
         if method == "GET":
             self.health_check_count += 1
             return 200, [], b""
         self.calls.append((time.monotonic(), target, headers, body))
-        said = self.script.pop(0) if len(self.script) > 1 else self.script[0]
-        if callable(said):
-            said = said(body)
-        return (said, [], b"") if isinstance(said, int) else said
+        response = self.script.pop(0) if len(self.script) > 1 else self.script[0]
+        if callable(response):
+            response = response(body)
+        return (response, [], b"") if isinstance(response, int) else response
 
     def event_ids(self):
-        """Event ids of the calls, in order; none may be a batch."""
+        """Return the event ids of the calls, in order; fails if a call was a batch."""
         return [headers["x-txn"] for _, _, headers, _ in self.calls]
 
 
 class GatedEndpoint(FakeEndpoint):
     """An endpoint whose accept queue can be filled.
 
-    The kernel then drops connection requests, and TCP repeats them a second later: such a connection comes up
-    late.
+    While the queue is full, the kernel drops connection requests. TCP repeats them after a second, so such a
+    connection is established late.
     """
 
     def __init__(self, *script, **more):
-        self.crowd = []
+        self.queue_fillers = []
         super().__init__(*script, **more)
         self.listener.listen(0)
 
@@ -188,36 +194,36 @@
         super()._serve(conn)
 
     def stop_accepting(self):
-        """Accept no more, and fill the accept queue."""
+        """Stop accepting connections, and fill the accept queue."""
         self.gate.clear()
         while True:
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(self.listener.getsockname())
-            self.crowd.append(sock)
+            self.queue_fillers.append(sock)
             if not select.select([], [sock], [], 0.05)[1]:
                 return
 
     def resume_accepting(self):
-        """Empty the accept queue, and accept again."""
-        while self.crowd:
-            self.crowd.pop().close()
+        """Empty the accept queue, and accept connections again."""
+        while self.queue_fillers:
+            self.queue_fillers.pop().close()
         self.gate.set()
 
 
 class FakeDiscovery(FakeHttpServer):
-    """Discovery: keeps an endpoint list, sends its changes to all watches, and receives notifications."""
+    """A discovery server: serves an endpoint list, sends changes to all watches, receives notifications."""
 
     def __init__(self, *entries):
-        super().__init__(self._ask)
+        super().__init__(self._handle_request)
         self.list_document = {"version": 1, "full": True, "servers": list(entries)}
         self.watches = []
         self.notifications = []
-        self.failing_notification_count = 0  # how many notifications are answered with 500
+        self.failing_notification_count = 0  # number of the next notification requests that get a 500
         self.targets = []
-        self.omits_keep_alives = False  # whether the watches lack their keep-alive lines
+        self.omits_keep_alives = False  # whether the watches send no keep-alive lines
 
-    def _ask(self, method, target, headers, body):
+    def _handle_request(self, method, target, headers, body):
         if method == "POST":
             if self.failing_notification_count:
                 self.failing_notification_count -= 1
@@ -242,18 +248,18 @@
         conn.sendall(b"%x\r\n%s\r\n" % (len(data), data))
 
     def send_change(self, *entries):
-        """Send a change of the list to all watches."""
+        """Send a change of the endpoint list to all watches."""
         self.list_document = {
             "version": self.list_document["version"] + 1,
             "full": False,
             "servers": list(entries),
         }
         for conn in self.watches:
-            with contextlib.suppress(OSError):  # a watch that the node has left
+            with contextlib.suppress(OSError):  # the node has closed this watch
                 self.send_line(conn, json.dumps(self.list_document))
 
     def drop_watches(self):
-        """Shut all watches down."""
+        """Close the connections of all watches."""
         watches, self.watches = self.watches, []
         for conn in watches:
             conn.shutdown(socket.SHUT_RDWR)
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -1,4 +1,4 @@
-"""The node as a process, with its configuration, its state folder and its discovery."""
+"""The node as a process, with its configuration, its state folder and a fake discovery server."""
 
 import json
 import os
@@ -15,12 +15,16 @@
 
 
 def stream_profile(name, effect, **more):
-    """A stream type of the settings document (`Profiles`), other keys given by name."""
+    """Return a stream type as in the settings key `Profiles`; `more` adds or replaces keys."""
     return {"Name": name, "Effect": effect, "Aim": 1.5, "Deadline": 5.0, "Value": 1.0, "Group": "all"} | more
 
 
 class NodeProcess:
-    """`python -m swiftthread` with its folder, and its discovery."""
+    """A `python -m swiftthread` process, its folder and its discovery server.
+
+    `known` says whether the configuration contains the initial endpoint list. `limits` and `settings` replace
+    the defaults of these sections; a dict in `settings` is merged into its default.
+    """
 
     SETTINGS = {
         "Balancers": 1,
@@ -54,8 +58,8 @@
     def __init__(self, folder, *endpoints, known=True, limits=(), environ=None, **settings):
         self.folder = folder
         self.discovery = FakeDiscovery(*[endpoint.entry() for endpoint in endpoints])
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.port = free.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as sock:
+            self.port = sock.getsockname()[1]
         self.state = folder / "state"
         self.state.mkdir(exist_ok=True)
         merged = {
@@ -79,8 +83,8 @@
         self.event_numbers = count(1)
         self.process = None
         self.environ = environ or {}
-        self.module = "swiftthread"  # what is started
-        self.working_directory = None  # its working directory; None: that of the tests
+        self.module = "swiftthread"  # the module that the process runs
+        self.working_directory = None  # None: the working directory of the tests
 
     def __enter__(self):
         return self.start()
@@ -92,11 +96,11 @@
         self.process.stderr.close()
         self.discovery.listener.close()
 
-    def reload(self, text=None, **parts):
-        """Replace the configuration, by a text or by other parts, and send SIGHUP."""
-        fresh = self.folder / "config.new"
-        fresh.write_text(text or json.dumps(self.config | parts))
-        fresh.replace(self.config_path)
+    def reload(self, text=None, **changes):
+        """Replace the configuration by `text`, or change the given keys, and send SIGHUP."""
+        new_path = self.folder / "config.new"
+        new_path.write_text(text or json.dumps(self.config | changes))
+        new_path.replace(self.config_path)
         self.process.send_signal(signal.SIGHUP)
 
     def start(self):
@@ -122,7 +126,7 @@
         return socket.create_connection(("127.0.0.1", self.port), timeout=5)
 
     def raw(self, data):
-        """Send bytes on a connection of their own, and return what one read brings of the answer."""
+        """Send bytes on a new connection, and return the part of the response that one read returns."""
         with self.open() as conn:
             conn.sendall(data)
             return conn.recv(4096)
@@ -130,7 +134,10 @@
     def submission_request(
         self, stream="notice", body=b"hello", destination=1, left="4000m", ident=None, **headers
     ):
-        """A client's request; a header given as None is left out."""
+        """Return a client's request; a header given as None is omitted.
+
+        `left` is the value of X-Remaining, the time until the event expires.
+        """
         ident = ident or f"evt-{next(self.event_numbers)}"
         head = {
             "Host": "api.internal",
@@ -144,19 +151,24 @@
         return f"POST /{stream} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
     def submit(self, *args, **more):
-        """Submit an event (arguments: `bytes_of`), and return the status of the answer."""
+        """Submit an event, and return the status of the response.
+
+        The arguments are those of `submission_request`.
+        """
         return int(self.raw(self.submission_request(*args, **more)).split()[1])
 
     def final_outcomes(self):
-        """Event id -> final outcome, as discovery was notified of them."""
-        return {row["message"]: row["outcome"] for row in self.discovery.notifications}
+        """Return the final outcome by event id, as discovery was notified of them."""
+        return {
+            notification["message"]: notification["outcome"] for notification in self.discovery.notifications
+        }
 
-    def stop(self, how=signal.SIGTERM):
-        self.process.send_signal(how)
+    def stop(self, signal_number=signal.SIGTERM):
+        self.process.send_signal(signal_number)
         return self.process.wait(timeout=10)
 
     def stop_and_read_log(self):
-        """Stop it, and return what it logged."""
+        """Stop the process, and return its log output."""
         self.stop()
         return self.process.stderr.read().decode()
 
@@ -164,30 +176,30 @@
         return self.state / "ledger"
 
     def has_logged_end(self, event_id):
-        """Whether the write-ahead log holds the record that ends this event."""
+        """Return whether the write-ahead log contains the record with which this event ends."""
         return b'E["%s"]' % event_id.encode() in self.log_path().read_bytes()
 
     def pending_event_ids(self):
-        """Ids of the events that are pending by its write-ahead log."""
-        held = {}
+        """Return the ids of the events that are pending according to the write-ahead log."""
+        is_pending_by_id = {}
         for _, _, kind, payload in records(self.log_path().read_bytes()):
             if kind in (ACCEPTED, ENDED):
-                row = json.loads(
+                fields = json.loads(
                     payload[4 : 4 + struct.unpack_from("<I", payload)[0]] if kind == ACCEPTED else payload
                 )
-                held[row[0]] = kind == ACCEPTED
-        return {ident for ident, is_held in held.items() if is_held}
+                is_pending_by_id[fields[0]] = kind == ACCEPTED
+        return {event_id for event_id, is_pending in is_pending_by_id.items() if is_pending}
 
 
 def exchange(conn, request):
-    """Send a request on an open connection, and return its answer as far as one read brings it."""
+    """Send a request on an open connection, and return the part of the response that one read returns."""
     conn.sendall(request)
     return conn.recv(999)
 
 
 def wait_until(condition, timeout_s=8.0):
-    """Wait until a condition holds; AssertionError when it does not within so many seconds."""
-    end = time.monotonic() + timeout_s
+    """Wait until a condition holds; raise AssertionError if it does not within `timeout_s` seconds."""
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < end, "what was waited for did not come"
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.01)
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Many nodes against shared simulated endpoints, on one clock: what each does alone, added up."""
+"""Many independent simulated nodes that call shared simulated endpoints, on one clock."""
 
 import heapq
 import random
@@ -9,43 +9,48 @@
 from swiftthread.routing.messages import SendOutcome
 from swiftthread.routing.statistics import RecentCount
 
-RESPONSE_MS = 100.0  # an endpoint's answer
-MAX_IDLE_MS = 4000.0  # for which a node's connection idles at most
-IMMEDIATE_RESPONSE_MS = 20.0  # an answer without work: a refused connection or a rejection
-CONNECTION_REJECTED_MS = 30.0  # until a connection is turned away for a full table
+RESPONSE_MS = 100.0  # latency of an ack
+MAX_IDLE_MS = 4000.0  # idle timeout of a connection
+IMMEDIATE_RESPONSE_MS = 20.0  # latency of a refused connection or a rejection
+CONNECTION_REJECTED_MS = 30.0  # latency of a connection that is rejected at the connection limit
 
 
 @dataclass
 class ConnectionLimitedCall:
-    """A call to an endpoint with a bound on connections."""
+    """A call to an endpoint with a connection limit."""
 
-    at: float
+    received_at: float
     node: int
     was_served: bool
 
 
 @dataclass
 class OpenConnection:
-    """A connection that is idle from one moment on, and closed at another."""
+    """A connection that becomes idle at one time and is closed at another."""
 
-    idle_from: float
+    idle_since: float
     closes_at: float
 
 
 class ConnectionLimitedEndpoint:
-    """An endpoint with a bound on connections: a call needs its node's idle one, or a free place."""
+    """An endpoint with a connection limit.
+
+    A call is served on the idle connection of its node, or on a new one while the limit is not reached.
+    """
 
     def __init__(self, max_connections):
         self.max_connections = max_connections
-        self.open: dict[int, OpenConnection] = {}
+        self.connections: dict[int, OpenConnection] = {}
         self.calls: list[ConnectionLimitedCall] = []
 
     def respond(self, node, now):
-        self.open = {owner: line for owner, line in self.open.items() if line.closes_at > now}
-        has_idle = node in self.open and self.open[node].idle_from <= now
-        was_served = has_idle or len(self.open) < self.max_connections
+        self.connections = {
+            owner: connection for owner, connection in self.connections.items() if connection.closes_at > now
+        }
+        has_idle_connection = node in self.connections and self.connections[node].idle_since <= now
+        was_served = has_idle_connection or len(self.connections) < self.max_connections
         if was_served:
-            self.open[node] = OpenConnection(now + RESPONSE_MS, now + RESPONSE_MS + MAX_IDLE_MS)
+            self.connections[node] = OpenConnection(now + RESPONSE_MS, now + RESPONSE_MS + MAX_IDLE_MS)
         self.calls.append(ConnectionLimitedCall(now, node, was_served))
         return (
             (RESPONSE_MS, SendOutcome.ACKED)
@@ -54,14 +59,14 @@
         )
 
     def close(self, node):
-        self.open.pop(node, None)
+        self.connections.pop(node, None)
 
     def rejected_share(self):
         return sum(not call.was_served for call in self.calls) / len(self.calls)
 
 
 class FleetNode(SimulatedNode):
-    """One node of a fleet; its acts stand in the fleet's queue."""
+    """One node of a fleet; its scheduled actions are in the queue of the fleet."""
 
     def __init__(self, fleet, number, entries, endpoints, settings):
         self.fleet = fleet
@@ -75,19 +80,21 @@
         )
         self.session.router.random_uniform = random.Random(number).uniform
 
-    def schedule(self, moment, act, *args):
-        heapq.heappush(self.fleet.todo, (moment, next(self.fleet.turn), self, act, args))
+    def schedule(self, at, action, *args):
+        heapq.heappush(
+            self.fleet.scheduled_actions, (at, next(self.fleet.insertion_order), self, action, args)
+        )
 
     def end_attempt(self, ticket, endpoint, outcome, delay, retry_after_ms=0.0):
         if ticket not in self.session.in_flight:
-            return  # it was a call of the process before a restart
+            return  # the call belongs to the process before a restart
         if outcome != SendOutcome.CONNECTION_LIMIT:
             super().end_attempt(ticket, endpoint, outcome, delay, retry_after_ms)
             return
-        # Known to sockets alone; the simulator's protocol has no code for it.
+        # Only calls over sockets have this outcome; the simulator's protocol has no code for it.
         event = self.session.in_flight.pop(ticket)
-        answer = self.session.router.record_outcome(event, outcome, self.now, delay)
-        self.session.answer(event, answer, self.now, self)
+        decision = self.session.router.record_outcome(event, outcome, self.now, delay)
+        self.session.answer(event, decision, self.now, self)
         self.session.needs_recheck = True
 
     def close_idle(self, _node, endpoint):
@@ -95,44 +102,47 @@
 
 
 class Fleet:
-    """So many nodes that share nothing but the endpoints, which are given by id."""
+    """`size` nodes that share only the endpoints.
+
+    `endpoints` maps the id of each endpoint to the endpoint.
+    """
 
     def __init__(self, size, entries, endpoints, **settings):
-        self.todo = []
-        self.turn = count()
+        self.scheduled_actions = []
+        self.insertion_order = count()
         self.nodes = [
             FleetNode(self, number, entries, endpoints, {"node_count": size} | settings)
             for number in range(size)
         ]
 
-    def schedule_load(self, seed, rate, begin, end):
-        """Events by chance, so many a second in the mean, each at any node."""
-        draw = random.Random(seed)
+    def schedule_load(self, seed, rate_per_s, begin, end):
+        """Schedule events at random times and nodes, `rate_per_s` per second on average."""
+        rng = random.Random(seed)
         ticket = count(1)
-        moment = begin
-        while (moment := moment + draw.expovariate(rate / 1000.0)) < end:
-            node = draw.choice(self.nodes)
-            node.schedule(moment, node.submit, next(ticket))
+        at = begin
+        while (at := at + rng.expovariate(rate_per_s / 1000.0)) < end:
+            node = rng.choice(self.nodes)
+            node.schedule(at, node.submit, next(ticket))
 
     def run_until(self, end):
-        while self.todo and self.todo[0][0] <= end:
-            now, _, node, act, args = heapq.heappop(self.todo)
+        while self.scheduled_actions and self.scheduled_actions[0][0] <= end:
+            now, _, node, action, args = heapq.heappop(self.scheduled_actions)
             node.now = now
-            act(*args)
+            action(*args)
             node.session.settle(now, node)
         return self
 
-    def trace_lines(self, word):
-        return [line for node in self.nodes for line in node.lines if word in line]
+    def trace_lines(self, text):
+        return [line for node in self.nodes for line in node.lines if text in line]
 
 
 class RecoveringEndpoint:
-    """An endpoint that refuses connections for a while, and is cold when it is back."""
+    """An endpoint that refuses connections during an outage, and records the calls after it."""
 
     def __init__(self, outage_begins_at, outage_ends_at):
         self.outage_begins_at = outage_begins_at
         self.outage_ends_at = outage_ends_at
-        self.calls = []  # moments of the calls since it is back
+        self.calls = []  # times of the calls after the outage
 
     def respond(self, _node, now):
         if self.outage_begins_at <= now < self.outage_ends_at:
@@ -141,26 +151,26 @@
             self.calls.append(now)
         return RESPONSE_MS, SendOutcome.ACKED
 
-    def calls_within(self, begin, end):
-        return sum(begin <= moment - self.outage_ends_at < end for moment in self.calls)
+    def calls_within(self, begin_ms, end_ms):
+        return sum(begin_ms <= received_at - self.outage_ends_at < end_ms for received_at in self.calls)
 
 
 class RateLimitedEndpoint:
-    """An endpoint that takes so many calls in a second, and counts those that it rejects.
+    """An endpoint that serves at most `limit_per_s` calls per second; rejected calls count as well.
 
-    `retry_after_ms`: the Retry-After of its rejections.
+    `retry_after_ms` is the Retry-After of its rejections.
     """
 
-    def __init__(self, per_s, retry_after_ms=0.0):
-        self.per_s = per_s
+    def __init__(self, limit_per_s, retry_after_ms=0.0):
+        self.limit_per_s = limit_per_s
         self.retry_after_ms = retry_after_ms
-        self.recent = RecentCount(1000.0)
-        self.served = []  # moments
-        self.rejected = []  # moments
+        self.recent_calls = RecentCount(1000.0)
+        self.served = []  # times
+        self.rejected = []  # times
 
     def respond(self, _node, now):
-        self.recent.add(now)
-        if self.recent.count(now) > self.per_s:
+        self.recent_calls.add(now)
+        if self.recent_calls.count(now) > self.limit_per_s:
             self.rejected.append(now)
             return IMMEDIATE_RESPONSE_MS, SendOutcome.RATE_LIMITED, self.retry_after_ms
         self.served.append(now)
--- a/tests/support/simulated_node.py
+++ b/tests/support/simulated_node.py
@@ -1,7 +1,7 @@
-"""One router session in simulated time, and the trace of what it decides.
+"""One router session in simulated time, and the trace of its decisions.
 
-A trace lives in tests/traces/ and is read by people. After a wanted change of behaviour, run the tests with
-WRITE_TRACES=1 once, then read the difference before it is committed.
+Traces are stored in tests/traces/ in a readable form. After an intended change of behaviour, run the tests
+with WRITE_TRACES=1 once, and review the difference before committing it.
 """
 
 import heapq
@@ -16,19 +16,20 @@
 from swiftthread.simulator.sessions import Session
 
 TRACES = Path(__file__).parents[1] / "traces"
-RESTARTED_TICKETS = 1_000_000  # added to the ticket of an event that a restart found
-CODES = {outcome: code for code, outcome in OUTCOMES_BY_CODE.items()}
+# Added to the ticket of an event that is pending at a restart.
+RESTARTED_TICKET_OFFSET = 1_000_000
+CODES_BY_OUTCOME = {outcome: code for code, outcome in OUTCOMES_BY_CODE.items()}
 
 
 class SimulatedNode:
-    """A session, a clock, and endpoints that answer as `answers(ticket, endpoint, now)` says.
+    """A session, a clock, and endpoints that respond as `respond(ticket, endpoint, now)` returns.
 
-    An answer is a tuple of (delay, outcome[, retry after]); None is silence until the time-out. All times are
-    in ms. The node is the `CommandWriter` of its session; `lines` is the trace.
+    A response is a tuple of (delay, outcome[, Retry-After]), or None if the endpoint does not respond before
+    the timeout. All times are in ms. The node is the `CommandWriter` of its session; `lines` is the trace.
     """
 
     def __init__(
-        self, endpoints, answers=lambda ticket, endpoint, now: (100.0, SendOutcome.ACKED), **settings
+        self, endpoints, respond=lambda ticket, endpoint, now: (100.0, SendOutcome.ACKED), **settings
     ):
         settings = {
             "stream_types": [IDEMPOTENT],
@@ -39,23 +40,23 @@
         } | settings
         self.settings = Settings(**settings)
         self.session = Session(1, 7, self.settings, ["x0", "x1"])
-        self.answers = answers
+        self.respond = respond
         self.lines = []
         self.now = 0.0
-        self.todo = []  # heap of (moment, order of insertion, function, arguments)
-        self.turn = count()
+        self.scheduled_actions = []  # heap of (time, order of insertion, function, arguments)
+        self.insertion_order = count()
         self.schedule(0.0, self.apply_endpoint_list, endpoints, True)
 
-    def schedule(self, moment, act, *args):
-        """Call a function when the clock gets there."""
-        heapq.heappush(self.todo, (moment, next(self.turn), act, args))
+    def schedule(self, at, action, *args):
+        """Call a function when the simulated clock reaches the time `at`."""
+        heapq.heappush(self.scheduled_actions, (at, next(self.insertion_order), action, args))
 
-    def apply_endpoint_list(self, endpoints, whole=False):
-        """Apply an endpoint list, of rows (id, destination, zone, kind, listed rate, ready)."""
-        self.session.apply_endpoint_list(endpoints, whole, self.now)
+    def apply_endpoint_list(self, entries, is_full=False):
+        """Apply an endpoint list with entries (id, destination, zone, kind, listed rate, ready)."""
+        self.session.apply_endpoint_list(entries, is_full, self.now)
 
     def submit(self, ticket, destination=0, stream=0, left=None, ordering_key=0):
-        """Submit an event."""
+        """Submit an event that expires in `left` ms, or after the max age of its stream type."""
         router = self.session.router
         event = router.add_event(
             self.now, stream, destination, left or router.stream_types[stream].max_age_ms, 0, ordering_key
@@ -63,12 +64,12 @@
         self.session.hold(event, ticket)
 
     def end_attempt(self, ticket, endpoint, outcome, delay, retry_after_ms=0.0):
-        """End an attempt."""
-        self.say(
+        """Finish an attempt with its outcome, and add it to the trace."""
+        self.add_trace_line(
             f"{outcome} {ticket} at {endpoint}"
             + (f", retry after {retry_after_ms:.0f}" if retry_after_ms else "")
         )
-        code = CODES[outcome]
+        code = CODES_BY_OUTCOME[outcome]
         result = AttemptResult(
             instance=self.session.number,
             ticket=ticket,
@@ -83,40 +84,40 @@
         self.session.record_attempt(result, self.now, self)
 
     def restart(self, endpoints):
-        """Come back as another process: it has the events that were pending, and knows of no outcome."""
-        survivors = list(self.session.pending.items())
+        """Restart as a new process that has the pending events, but no earlier outcome."""
+        pending_events = list(self.session.pending.items())
         stream_types = self.session.router.stream_types
         uniform = self.session.router.random_uniform
         self.session = Session(1, 7, self.settings, ["x0", "x1"])
         self.session.router.random_uniform = uniform
         self.apply_endpoint_list(endpoints, True)
-        for ticket, event in survivors:
+        for ticket, event in pending_events:
             stream = stream_types.index(event.stream_type)
             left = event.expires_at - self.now
-            self.submit(ticket + RESTARTED_TICKETS, event.destination.number, stream, left)
+            self.submit(ticket + RESTARTED_TICKET_OFFSET, event.destination.number, stream, left)
 
     def withdraw(self, ticket):
         self.session.withdraw(ticket, self.now)
 
-    # Commands of the session.
+    # Commands of the session (the methods of `CommandWriter`).
 
     def send(self, _node, ticket, endpoint, timeout_ms):
-        self.say(f"send {ticket} -> {endpoint}, time out after {timeout_ms:.0f}")
-        answer = self.answers(ticket, endpoint, self.now) or (timeout_ms, SendOutcome.TIMED_OUT)
-        delay, outcome, *retry_after = answer
+        self.add_trace_line(f"send {ticket} -> {endpoint}, time out after {timeout_ms:.0f}")
+        response = self.respond(ticket, endpoint, self.now) or (timeout_ms, SendOutcome.TIMED_OUT)
+        delay, outcome, *retry_after = response
         if delay >= timeout_ms:
             delay, outcome, retry_after = timeout_ms, SendOutcome.TIMED_OUT, ()
         self.schedule(self.now + delay, self.end_attempt, ticket, endpoint, outcome, delay, *retry_after)
 
     def reject(self, _node, ticket, retry_after_ms):
-        self.say(f"reject {ticket}, retry after {retry_after_ms:.0f}")
+        self.add_trace_line(f"reject {ticket}, retry after {retry_after_ms:.0f}")
 
     def abandon(self, _node, ticket):
-        self.say(f"abandon {ticket}")
+        self.add_trace_line(f"abandon {ticket}")
 
     def probe(self, _node, endpoint):
-        self.say(f"probe {endpoint}")
-        delay, outcome, *_ = self.answers(None, endpoint, self.now) or (1000.0, SendOutcome.TIMED_OUT)
+        self.add_trace_line(f"probe {endpoint}")
+        delay, outcome, *_ = self.respond(None, endpoint, self.now) or (1000.0, SendOutcome.TIMED_OUT)
         self.schedule(
             self.now + delay,
             self.session.router.record_health_check,
@@ -127,30 +128,30 @@
         )
 
     def close_idle(self, _node, endpoint):
-        self.say(f"close idle connections to {endpoint}")
+        self.add_trace_line(f"close idle connections to {endpoint}")
 
     def watch_endpoint_list(self, _node):
-        self.say("request the endpoint list")
+        self.add_trace_line("request the endpoint list")
 
     def schedule_wakeup(self, _node, delay, _label):
         self.schedule(self.now + delay, lambda: None)
 
-    def say(self, line):
+    def add_trace_line(self, line):
         """Add a line to the trace."""
         self.lines.append(f"{self.now:8.1f}  {line}")
 
     def run_until(self, end):
-        """Let the clock run to this moment."""
-        while self.todo and self.todo[0][0] <= end:
-            self.now = self.todo[0][0]
-            while self.todo and self.todo[0][0] <= self.now:
-                _, _, act, args = heapq.heappop(self.todo)
-                act(*args)
+        """Run the simulation until the time `end`."""
+        while self.scheduled_actions and self.scheduled_actions[0][0] <= end:
+            self.now = self.scheduled_actions[0][0]
+            while self.scheduled_actions and self.scheduled_actions[0][0] <= self.now:
+                _, _, action, args = heapq.heappop(self.scheduled_actions)
+                action(*args)
             self.session.settle(self.now, self)
         return self
 
     def assert_matches_trace(self, name):
-        """Compare with the trace stored under this name."""
+        """Assert that the trace equals the one stored under this name."""
         path = TRACES / f"{name}.txt"
         trace = "\n".join(self.lines) + "\n"
         if os.environ.get("WRITE_TRACES"):
--- a/tests/support/stream_types.py
+++ b/tests/support/stream_types.py
@@ -1,4 +1,4 @@
-"""Stream types that the tests use."""
+"""Stream types that several test modules use."""
 
 from swiftthread.routing.settings import StreamType
 
