--- a/tests/client/test_discovery_watch.py
+++ b/tests/client/test_discovery_watch.py
@@ -19,7 +19,7 @@
         wait_until(lambda: node.discovery.watches)
         complete_list = {"version": 2, "full": True, "servers": [old.entry(), new.entry()]}
         node.discovery.send_change(new.entry() | {"addr": "nowhere"})
-        node.discovery.page = complete_list
+        node.discovery.list_document = complete_list
         wait_until(lambda: len(node.discovery.targets) == 2)
         assert node.discovery.targets[1].endswith("from=0")
         wait_until(lambda: node.submit(destination=2) == 202)
@@ -29,7 +29,11 @@
 def test_entries_that_stay_unreadable_are_tolerated(tmp_path):
     endpoint = FakeEndpoint()
     with NodeProcess(tmp_path, endpoint, known=False) as node:
-        node.discovery.page = {"version": 1, "full": True, "servers": [endpoint.entry(), {"id": "s-9"}]}
+        node.discovery.list_document = {
+            "version": 1,
+            "full": True,
+            "servers": [endpoint.entry(), {"id": "s-9"}],
+        }
         node.discovery.drop_watches()
         wait_until(lambda: len(node.discovery.watches) >= MAX_CONSECUTIVE_UNREADABLE_LISTS + 1)
         request_count = len(node.discovery.targets)
--- a/tests/configuration/test_unclear_settings.py
+++ b/tests/configuration/test_unclear_settings.py
@@ -83,4 +83,4 @@
         program.start()
     program.process.wait(), program.process.stderr.close(), program.discovery.listener.close()
     assert program.process.returncode == 2 and str(raised.value).count("\\n") <= 1
-    assert f"{program.conf}: the settings' Profiles[1] cannot be read" in str(raised.value)
+    assert f"{program.config_path}: the settings' Profiles[1] cannot be read" in str(raised.value)
--- a/tests/service/test_fleet_size.py
+++ b/tests/service/test_fleet_size.py
@@ -54,9 +54,9 @@
         wait_until(lambda: len(endpoints[0].calls) + len(endpoints[1].calls) == 5)
         assert len(endpoints[1].calls) <= 1
         assert rss_mb(node.process) < 32.0 and len(os.listdir(f"/proc/{node.process.pid}/fd")) < 256
-        node.parts["known"] = {"version": 1, "full": True, "servers": entries}
-        node.discovery.page["servers"][:] = entries
-        node.stop(), node.conf.write_text(json.dumps(node.parts))
+        node.config["known"] = {"version": 1, "full": True, "servers": entries}
+        node.discovery.list_document["servers"][:] = entries
+        node.stop(), node.config_path.write_text(json.dumps(node.config))
         assert node.start().submit(destination=1) == 202 and rss_mb(node.process) < 32.0
 
 
