--- a/swiftthread/client/batch.py
+++ b/swiftthread/client/batch.py
@@ -65,7 +65,7 @@
 
         An event that may be sent again to another endpoint ends the wait when it times out. An event on its
         last attempt does not: as long as nothing has been sent, it is removed from the call when it times
-        out, and the call keeps waiting for the other events.
+        out, and the call continues to wait for the other events.
         """
         retryable = [send.times_out_at for send in self.sends if not send.is_last_attempt]
         if retryable:
--- a/swiftthread/client/discovery_client.py
+++ b/swiftthread/client/discovery_client.py
@@ -1,4 +1,7 @@
-"""Client of discovery: it follows the endpoint list through a watch, one long HTTP response."""
+"""Client of discovery: follows the endpoint list through a watch, one long HTTP response.
+
+A watch that ends or times out is opened again.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 
 class DiscoveryClient:
-    """Watches the endpoint list. Its owner calls `watch` again after each watch that ended."""
+    """Watches the endpoint list. Its owner calls `watch` again whenever a watch has ended or timed out."""
 
     def __init__(
         self,
@@ -91,7 +94,9 @@
             await self._request_watch(connection)
             await self._read_updates(connection, on_update)
         except (ConnectionClosed, TimeoutError):
-            logger.info("discovery {}:{}: the watch is closed or timed out; another is opened", host, port)
+            logger.info(
+                "discovery {}:{}: the watch was closed or timed out; another one is opened", host, port
+            )
         except PARSE_ERRORS as error:
             self.endpoint_list.version = 0  # which updates were missed is unknown: request the complete list
             logger.warning(
--- a/swiftthread/client/endpoint_client.py
+++ b/swiftthread/client/endpoint_client.py
@@ -28,7 +28,7 @@
     from swiftthread.routing.events import Call
     from swiftthread.storage.pending_event import PendingEvent
 
-# A send that times out less than this before its deadline is the last attempt of its event.
+# A send that times out at most this long before its deadline, or after it, is the last attempt of its event.
 DEADLINE_TOLERANCE_MS = 1.0
 
 _OUTCOME_BY_HEALTH_STATUS = {200: SendOutcome.ACKED, 503: SendOutcome.RATE_LIMITED}
--- a/swiftthread/client/endpoint_list.py
+++ b/swiftthread/client/endpoint_list.py
@@ -86,7 +86,8 @@
             except PARSE_ERRORS as error:
                 has_unreadable = True
                 logger.warning(
-                    "discovery: an entry of the list cannot be parsed ({}) and is not applied: {:.200}",
+                    "discovery: an entry of the list cannot be parsed ({}) and is not applied; "
+                    "an endpoint that is known becomes not ready: {:.200}",
                     error,
                     repr(raw_entry),
                 )
@@ -135,8 +136,9 @@
     def _zone_number(self, endpoint_id: str, name: Any) -> int:
         """Returns the number of a zone.
 
-        A zone that the settings do not name has a separate number, which is the same after a restart, because
-        events are deduplicated only within one zone. An endpoint without a zone counts as a separate zone.
+        A zone that the settings do not name has a separate number, because events are deduplicated only
+        within one zone. The number is the same after a restart. An endpoint without a zone counts as a
+        separate zone.
         """
         if isinstance(name, str) and name in self.zone_numbers:
             return self.zone_numbers[name]
--- a/swiftthread/client/endpoint_response.py
+++ b/swiftthread/client/endpoint_response.py
@@ -26,7 +26,7 @@
     FAILED = "failed"
     BUSY = "busy"
     VOID = "void"
-    """The event was not executed and may not be sent again by any node."""
+    """The event was not executed, and it must not be sent again by any node or client."""
     USED_UP = "used_up"
 
 
--- a/swiftthread/client/http_exchange.py
+++ b/swiftthread/client/http_exchange.py
@@ -81,7 +81,8 @@
         """Read the bytes that the connection's parser has received; return whether the response is complete.
 
         Raises:
-            ConnectionClosed: The bytes are not an HTTP response, or the response is truncated or too long.
+            ConnectionClosed: The bytes are not an HTTP response, or it is truncated, too long, or follows
+                too many responses with a status of 1xx.
         """
         parser = connection.parser
         try:
--- a/swiftthread/client/json_stream.py
+++ b/swiftthread/client/json_stream.py
@@ -1,4 +1,4 @@
-"""A stream of JSON objects in a response body that does not end: its lines, and the objects in them."""
+"""Reads JSON objects from a response body that does not end: first its lines, then the objects in them."""
 
 from __future__ import annotations
 
--- a/swiftthread/client/result_notifier.py
+++ b/swiftthread/client/result_notifier.py
@@ -112,7 +112,7 @@
         except ConnectionClosed:
             pass
         except Exception:  # keeps the node running: they are posted again on another connection
-            logger.exception("discovery {}:{}: notifications failed; they are posted again", *address)
+            logger.exception("discovery {}:{}: posting notifications failed; they are posted again", *address)
             response = HttpResponse()
         if self.connection is not None and not response.allows_reuse(self.connection):
             self._close()
--- a/swiftthread/configuration/settings_reader.py
+++ b/swiftthread/configuration/settings_reader.py
@@ -99,7 +99,7 @@
 
 
 def read_stream_type(number: int, profile: Mapping[str, Any]) -> StreamType:
-    """Read a stream type; an unknown effect or deduplication group is interpreted conservatively.
+    """Read a stream type; an unclear effect, deduplication group or window is interpreted conservatively.
 
     Args:
         number: Position of the profile in the document, for error messages.
--- a/swiftthread/simulator/codec.py
+++ b/swiftthread/simulator/codec.py
@@ -127,7 +127,9 @@
         ProtocolError: The slice is not inside the tail.
     """
     if offset + length > len(tail):
-        raise ProtocolError(f"the tail has {len(tail)} bytes, but a record refers to {offset}+{length} bytes")
+        raise ProtocolError(
+            f"the tail has {len(tail)} bytes, but a record refers to offset {offset}, length {length} bytes"
+        )
     return tail[offset : offset + length]
 
 
--- a/swiftthread/simulator/session_host.py
+++ b/swiftthread/simulator/session_host.py
@@ -47,7 +47,7 @@
         self.endpoint_lists: dict[int, list[EndpointEntry]] = {}
 
     def handle_frame(self, frame: Frame, reply: ReplyWriter) -> None:
-        """Pass each record to its session, then run a scheduling cycle of every session that had one.
+        """Pass each record to its session, then run a scheduling cycle for every session that received one.
 
         Raises:
             ProtocolError: A record is malformed, or is not allowed in the state of its instance.
--- a/swiftthread/simulator/sessions.py
+++ b/swiftthread/simulator/sessions.py
@@ -33,7 +33,8 @@
     Attributes:
         pending: Pending events by ticket, until their final outcome or withdrawal.
         in_flight: Events with an attempt in flight, by ticket, until the result of the attempt.
-        waiting_for_result: Events to decide on again after any result, by ticket, until then.
+        waiting_for_result: Deferred events, by ticket, that the next cycle decides on again after a result, a
+            withdrawal or an endpoint list. They are removed when they are decided on.
         to_decide: New events, to be decided on in the next cycle.
         needs_recheck: Whether the next cycle decides on the events in `waiting_for_result`.
     """
@@ -156,7 +157,8 @@
     def _take_due_events(self, now: float) -> list[Event]:
         """Returns the events to decide on now, and removes them from the tables of waiting events.
 
-        They are the new events, those whose time has come, and after a result those that waited for one.
+        They are the new events, those whose time has come, and, if `needs_recheck` is set, those in
+        `waiting_for_result`.
         """
         due, self.to_decide = self.to_decide, []
         while self._scheduled and self._scheduled[0][0] <= now + CLOCK_TOLERANCE_MS:
--- a/tests/client/test_health_check.py
+++ b/tests/client/test_health_check.py
@@ -11,12 +11,12 @@
 from swiftthread.routing.messages import SendOutcome
 
 
-def health_outcome(moves):
-    """Returns the outcome of a health check; if `moves`, the address changes before the response."""
+def health_outcome(address_changes):
+    """Returns the outcome of a health check during which the endpoint's address may change."""
     addresses = {}
 
     def respond(method, target, headers, body):
-        if moves:
+        if address_changes:
             addresses["a"] = ("127.0.0.1", 1)
         return 200, [], b""
 
@@ -43,5 +43,5 @@
 
 
 def test_a_response_from_a_previous_address_is_ignored():
-    assert health_outcome(moves=False) == SendOutcome.ACKED
-    assert health_outcome(moves=True) == SendOutcome.TIMED_OUT
+    assert health_outcome(address_changes=False) == SendOutcome.ACKED
+    assert health_outcome(address_changes=True) == SendOutcome.TIMED_OUT
--- a/tests/routing/test_connection_tables.py
+++ b/tests/routing/test_connection_tables.py
@@ -55,7 +55,7 @@
 
 
 def test_a_connection_is_retained_while_an_event_is_pending_for_its_destination():
-    """It was closed in the scheduling cycle in which its call ended; the next event paid for a new one."""
+    """It was closed in the scheduling cycle in which its call ended; a new one cost time of the next slot."""
     node = SimulatedNode([("a", 0, 0, 0, 1.0, True)], keepalive_ms=5000.0).run_until(0.0).session.router
     first, second = [node.add_event(0.0, 0, 0, 10000.0) for _ in range(2)]
     for event, time_ms, closed in ((first, 0.0, []), (second, 1100.0, ["a"])):
--- a/tests/routing/test_endpoint_selection.py
+++ b/tests/routing/test_endpoint_selection.py
@@ -18,17 +18,17 @@
 
 
 def test_events_use_free_slots_of_the_costlier_route_while_the_cheaper_route_is_down():
-    """Guards against events that wait for the next slot of the cheaper route while it is down.
+    """Protects against events that wait for the next slot of the cheaper route while it is down.
 
     The free slots of the costlier route passed unused meanwhile.
     """
 
-    def answers(ticket, endpoint, now):
+    def respond(ticket, endpoint, now):
         return (5.0, SendOutcome.UNREACHABLE) if endpoint == 1 else (50.0, SendOutcome.ACKED)
 
     routes = [(1, 0, 1, 0, 8.0, True), (2, 0, 0, 0, 4.0, True)]
     run = burst(
-        SimulatedNode(routes, answers, separate_routes_by_kind=[True], carriage_cost_by_zone=[0.05, 0.0]),
+        SimulatedNode(routes, respond, separate_routes_by_kind=[True], carriage_cost_by_zone=[0.05, 0.0]),
         range(1, 40),
     ).run_until(6000.0)
     sent_at = [float(line.split()[0]) for line in run.lines if " -> 2," in line]
@@ -36,16 +36,16 @@
 
 
 def test_endpoint_is_ejected_only_for_the_stream_type_that_it_fails():
-    """Guards against an endpoint that fails nine tenths of one stream type and acks the other.
+    """Protects against an endpoint that fails nine tenths of one stream type and acks the other.
 
     Its acks of the other stream type kept it from being marked down, so it went on getting both.
     """
 
-    def answers(ticket, endpoint, now):
+    def respond(ticket, endpoint, now):
         return (50.0, SendOutcome.FAILED) if endpoint == 1 and ticket % 2 else (100.0, SendOutcome.ACKED)
 
     run = SimulatedNode(
-        TWO, answers, stream_types=[IDEMPOTENT, IDEMPOTENT._replace(latency_objective_ms=4000.0)]
+        TWO, respond, stream_types=[IDEMPOTENT, IDEMPOTENT._replace(latency_objective_ms=4000.0)]
     )
     for ticket in range(1, 17):
         run.schedule(600.0 * ticket, run.submit, ticket, 0, ticket % 2)
@@ -53,7 +53,7 @@
 
 
 def test_overloaded_destination_is_not_served_oldest_first():
-    """Guards the value of events at twice the rate limit of their destination.
+    """Protects against worthless deliveries at twice the rate limit of the destination.
 
     When the oldest event was sent first, each event waited until its delivery was worthless.
     """
--- a/tests/routing/test_list_polling.py
+++ b/tests/routing/test_list_polling.py
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("seed", range(1000, 6000, 1000))
 def test_nodes_that_lost_their_lists_together_do_not_keep_discovery_overloaded(seed):
-    """Guards against requests that keep discovery near its timeout.
+    """Protects against requests that keep discovery near its timeout.
 
     When nodes repeated their requests within a second, 4 of 40 had a list after 20 s.
     """
--- a/tests/routing/test_long_day.py
+++ b/tests/routing/test_long_day.py
@@ -15,7 +15,7 @@
 
 
 def test_tables_stay_small_while_endpoint_ids_ordering_keys_and_events_change(tmp_path):
-    """Guards against tables that grow without limit.
+    """Protects against tables that grow without limit.
 
     Every step adds an endpoint under a new id at the same address, and an event with a new id, ordering key
     and idempotency key.
--- a/tests/routing/test_ordering_keys.py
+++ b/tests/routing/test_ordering_keys.py
@@ -8,12 +8,12 @@
 
 
 def test_events_of_an_ordering_key_are_sent_one_at_a_time_with_a_pause_after_a_timeout():
-    def answers(ticket, endpoint, now):
+    def respond(ticket, endpoint, now):
         return None if now < 100.0 else (300.0, SendOutcome.ACKED)
 
     run = SimulatedNode(
         [(1, 0, 0, 0, 50.0, True)],
-        answers,
+        respond,
         stream_types=[IDEMPOTENT._replace(is_ordered=True)],
         ordering_pause_ms=2500.0,
     )
--- a/tests/routing/test_overload.py
+++ b/tests/routing/test_overload.py
@@ -15,7 +15,7 @@
 def test_nodes_given_a_retry_after_do_not_use_up_a_limit_that_counts_rejected_calls(
     node_count, limit, min_share
 ):
-    """Nodes resumed together at half their rates; rejected calls used up the limit and 0.32 was served."""
+    """Nodes resumed together at half their rates; rejected calls used up the limit; 0.32 of it was served."""
     shares = []
     for seed in range(4):
         limited = Limited(limit, RETRY_AFTER_MS)
--- a/tests/routing/test_recovery_ramp.py
+++ b/tests/routing/test_recovery_ramp.py
@@ -45,7 +45,10 @@
 @pytest.mark.parametrize("limit, load, warm_up", [(LIMIT_PER_S, LOAD_PER_S, WARM_UP_MS), (6.0, 9.0, 13000.0)])
 @pytest.mark.parametrize("seed", range(8))
 def test_total_calls_of_all_nodes_stay_within_the_recovery_budget(seed, limit, load, warm_up, endpoint_count):
-    """As in the fleet test, more than N + 2 * sqrt(N) + 2 calls in a window bring the destination down."""
+    """As in the fleet test, a destination fails under more calls in a window than N + 2 * sqrt(N) + 2.
+
+    N is the number of calls that the settings allow in the window.
+    """
     endpoint = recovered_endpoint(seed, endpoint_count, limit, load, warm_up_ms=warm_up)
     for begin in range(0, int(warm_up), 250):
         budget = allowed_calls(begin, begin + WINDOW_MS, limit, warm_up)
--- a/tests/routing/test_retry_rules.py
+++ b/tests/routing/test_retry_rules.py
@@ -18,20 +18,20 @@
     ],
 )
 def test_retry_after_a_reset_depends_on_the_effect_and_the_deduplication_group(trace, stream, endpoints):
-    def answers(ticket, endpoint, now):
+    def respond(ticket, endpoint, now):
         return (50.0, SendOutcome.RESET) if now < 1000.0 else (50.0, SendOutcome.ACKED)
 
-    burst(SimulatedNode(endpoints, answers, stream_types=[stream]), (1,)).run_until(
+    burst(SimulatedNode(endpoints, respond, stream_types=[stream]), (1,)).run_until(
         20000.0
     ).assert_matches_trace(trace)
 
 
 def test_deduplicated_event_that_may_have_run_is_given_up_before_its_window_ends():
-    def answers(ticket, endpoint, now):
+    def respond(ticket, endpoint, now):
         return (50.0, SendOutcome.FAILED) if now < 100.0 else (50.0, SendOutcome.RATE_LIMITED, 9000.0)
 
     streams = [DEDUPLICATED._replace(deduplication_group="zone")]
-    burst(SimulatedNode(ONE, answers, stream_types=streams), (1,)).run_until(20000.0).assert_matches_trace(
+    burst(SimulatedNode(ONE, respond, stream_types=streams), (1,)).run_until(20000.0).assert_matches_trace(
         "deduplication_window"
     )
 
--- a/tests/routing/test_slow_start_budget.py
+++ b/tests/routing/test_slow_start_budget.py
@@ -6,6 +6,9 @@
 node went on at its usual rate, and after the recovery the nodes that had noticed the outage sent more than
 the destination could withstand.
 
+In one run this happened at three routes of a destination. One of them was down from 19.001 s to 30.838 s,
+recovered, and failed again.
+
 With forty nodes and three routes of two calls per second that rejected all calls for 12 s, the budget was
 exceeded in 23 of 180 simulated recoveries. Of the calls in those windows, 126 came from nodes with one or two
 consecutive rejections that had not marked the destination down, 34 were paced trials, and 39 came from nodes
--- a/tests/storage/test_full_disk.py
+++ b/tests/storage/test_full_disk.py
@@ -119,7 +119,7 @@
 
 
 def test_a_full_disk_loses_no_record_of_a_send_that_may_have_run(tmp_path):
-    """Guards against losing the record of a send that may have run.
+    """Protects against losing the record of a send that may have run.
 
     The second send cannot be recorded, so it is skipped. When a skipped send was recorded as one that never
     ran, that record cancelled the first send, and after a restart the event was sent to the other group.
@@ -153,7 +153,7 @@
 
 
 def test_an_event_rejected_on_a_full_disk_is_not_sent_after_a_restart(tmp_path):
-    """Guards against delivering an event that its client was notified to submit elsewhere.
+    """Protects against delivering an event that its client was notified to submit elsewhere.
 
     If the full disk loses the decision, the event is pending again after a restart.
     """
--- a/tests/storage/test_log_recovery.py
+++ b/tests/storage/test_log_recovery.py
@@ -1,4 +1,4 @@
-"""Torn, damaged and foreign logs: accepted events get an outcome, and none is sent twice for the damage."""
+"""Torn, damaged and foreign logs: accepted events get an outcome, and damage causes no second send."""
 
 import signal
 
