--- a/swiftthread/lab/cli/run_commands.py
+++ b/swiftthread/lab/cli/run_commands.py
@@ -67,7 +67,7 @@
 
     incident = load_incident(path)
     if node not in list(NodeKind) and not node.startswith(COMMAND_PREFIX):
-        raise InvalidInputError(f"--node {node}: is not one of {', '.join(NodeKind)}, nor exec:COMMAND")
+        raise InvalidInputError(f"--node {node}: is not one of {', '.join(NodeKind)} or exec:COMMAND")
     folder = into or Path(tempfile.mkdtemp(prefix="lab-"))
     result = run_async(_execute_run, incident, incident.seed if seed is None else seed, node, rev, folder)
     _show_progress("")
@@ -158,7 +158,7 @@
 @click.option("--into", type=click.Path(path_type=Path), default=Path("lab-runs"), show_default=True)
 @click.option("--jobs", type=int)
 def compare(rev: str, paths: tuple[str, ...], seeds: int, into: Path, jobs: int | None) -> None:
-    """Compare a git revision with this source tree, and say whether differences are more than chance."""
+    """Compare a git revision with this source tree, and say whether differences are significant."""
     from swiftthread.lab import builds, experiment
     from swiftthread.lab.runner import NodeKind
 
--- a/swiftthread/lab/emulator/discovery.py
+++ b/swiftthread/lab/emulator/discovery.py
@@ -77,7 +77,7 @@
 
     Attributes:
         address: The listening address as host:port, set by `open`.
-        is_unresponsive: Whether requests for the list get no response.
+        is_unresponsive: Whether list requests get no response, and watches neither changes nor heartbeats.
     """
 
     address: str
@@ -121,7 +121,10 @@
         self._watches.pop(connection, None)
 
     def apply_changes(self, changed_entries: list[EndpointEntry]) -> None:
-        """Change the list and send the changes to all watches; record them as announced once written."""
+        """Change the list and send the changes to all watches; record them as announced once written.
+
+        While the server is unresponsive, the list changes but nothing is sent or recorded.
+        """
         self._version += 1
         for entry in changed_entries:
             self._entries[entry.id] = entry
@@ -155,7 +158,7 @@
             )
 
     def stop_responding_for(self, duration_ms: float) -> None:
-        """Send no responses to list requests and no changes to watches for this duration."""
+        """Send no responses to list requests, and nothing to watches, for this duration."""
         self.is_unresponsive = True
         asyncio.get_running_loop().call_later(duration_ms / 1000.0, self._resume)
 
--- a/swiftthread/lab/experiment/results.py
+++ b/swiftthread/lab/experiment/results.py
@@ -67,7 +67,7 @@
         return max(result.measure for result in self.results)
 
     def breach_count(self) -> int:
-        """Return the number of broken rules."""
+        """Return the number of breaches."""
         return count_breaches(self.results)
 
 
@@ -77,7 +77,7 @@
 
 
 def count_breaches(results: Iterable[MatrixResult]) -> int:
-    """Return the number of broken rules in these results."""
+    """Return the number of breaches in these results."""
     return sum(len(result.breaches) for result in results)
 
 
--- a/swiftthread/lab/faults.py
+++ b/swiftthread/lab/faults.py
@@ -36,7 +36,7 @@
     JOIN = "join"
     """A spare endpoint starts to serve and is added to the list."""
     HEAL = "heal"
-    """All faults of the endpoint end, and with them those of its destination."""
+    """All faults of the endpoint and of its destination end, except a pause and a removal."""
     RESET_BEFORE_REQUEST = "reset_before"
     """A share of the connections is reset when data arrives, before the request is parsed."""
     SLOW_READ = "slow_read"
@@ -59,7 +59,7 @@
     Attributes:
         kind: The kind of fault.
         share: The share of calls or connections that it affects, 0 to 1.
-        sends_retry_after: Whether the rejection of a call has a Retry-After.
+        sends_retry_after: Whether calls that `DESTINATION_UNAVAILABLE` rejects get a Retry-After.
         factor: The factor that service times or the rate limit are multiplied by.
         duration_ms: How long it lasts; 0 means until it is healed.
     """
--- a/swiftthread/lab/incident.py
+++ b/swiftthread/lab/incident.py
@@ -167,7 +167,8 @@
         body_bytes: The size of an event's body.
         come_back: When clients resubmit an event that was not accepted or was rejected later: after the
             Retry-After (`as_told`), without a delay (`at_once`), or `never`.
-        skew: The exponent of the Zipf distribution of events over destinations. 0 means uniform.
+        skew: The exponent of the Zipf distribution of events over destinations. 0 means that
+            only the destinations' `share` weights them.
         subjects: The number of ordering keys for each destination.
         patience_ms: The time that a client waits for the response to a submission.
         processes: The number of client processes.
@@ -243,9 +244,11 @@
         what: The kind of step: a value of `EndpointFault`, `NodeFault`, `DiscoveryFault` or `LoadChange`.
         on: What the step applies to: `node:NUMBER` for a `NodeFault`, endpoints as described at
             `Incident.targets` for an `EndpointFault`.
-        for_ms: The duration of the step. For `kill` and `restart`, the time until the node's next start.
+        for_ms: The duration of the step; 0 means that an endpoint's fault lasts until it is healed. For
+            `kill` and `restart`, the time between the node's exit and its next start; 0 means the default.
         share: The share of calls or connections that are affected.
-        wait_ms: If it is not 0, rejected calls get a Retry-After. The value is not used otherwise.
+        wait_ms: If it is not 0, the calls that a `shut` step rejects get a Retry-After with the remaining
+            duration of the step. The value is not used otherwise.
         factor: The factor that service times, the rate limit or the arrival rate are multiplied by.
     """
 
--- a/swiftthread/lab/receivers.py
+++ b/swiftthread/lab/receivers.py
@@ -197,7 +197,8 @@
         tag: A number that the driver assigns to identify the call.
         endpoint: The endpoint at which it arrived.
         size: The number of events in it.
-        completes_at: When a worker completes it; infinite while it is queued, and after its completion.
+        completes_at: When a worker completes it; infinite while it is queued, and once it is completed or
+            discarded.
     """
 
     tag: int
--- a/swiftthread/lab/referee/effect_rules.py
+++ b/swiftthread/lab/referee/effect_rules.py
@@ -57,7 +57,7 @@
 
 
 def _check_handed_back(event: SubmittedEvent) -> Iterator[Breach]:
-    """Check that an event that may have run is handed back only if its client may safely resubmit it."""
+    """Check that a node rejects an accepted event that may have run only if a resubmission is safe."""
     handed_back_notifications = [
         notification
         for notification in event.notifications
--- a/swiftthread/lab/referee/traffic_rules.py
+++ b/swiftthread/lab/referee/traffic_rules.py
@@ -82,8 +82,8 @@
 ) -> set[str] | None:
     """Return the nodes with an unsuccessful call to the destination during an outage.
 
-    The result is None when no call was rejected. The connections failed then, which is not recorded, so that
-    any node may be aware of the outage.
+    The result is None when no endpoint rejected a call in that time. Connections failed then, which is not
+    recorded, so that any node may be aware of the outage.
     """
     failed_attempts = [
         (event.node, attempt)
--- a/swiftthread/lab/relay.py
+++ b/swiftthread/lab/relay.py
@@ -38,7 +38,7 @@
 DECREASE_FACTOR = 0.5  # A failed call multiplies the AIMD limit by this.
 LISTEN_BACKLOG = 1024
 
-NOT_SENT = -1  # Stands in place of a status if the call was not sent to any endpoint.
+NOT_SENT = -1  # Stands in place of a status if there was no endpoint or no connection for the call.
 NOT_EXECUTED_STATUSES = frozenset({400, 410, 413, 429, 503, 504})  # After any other, the call may have run.
 
 
--- a/swiftthread/lab/runner/result.py
+++ b/swiftthread/lab/runner/result.py
@@ -149,7 +149,7 @@
         if not self.lag_ms:
             return ""
         process, lag_ms = max(self.lag_ms.items(), key=lambda item: item[1])
-        return f"the loop of {process} came {lag_ms:.0f} ms late" if lag_ms > MAX_LAG_MS else ""
+        return f"the event loop of {process} lagged by {lag_ms:.0f} ms" if lag_ms > MAX_LAG_MS else ""
 
 
 @dataclass(slots=True)
--- a/tests/lab/test_receiver_model.py
+++ b/tests/lab/test_receiver_model.py
@@ -178,7 +178,7 @@
     ]
 
 
-def test_a_pause_delays_every_completion_and_keeps_their_order():
+def test_a_pause_delays_every_completion_and_preserves_their_order():
     receivers, endpoint = build_receiver(random.Random(1), workers=2, distribution="fixed")
     first, _ = receivers.receive_call(0.0, endpoint, 1)
     second, _ = receivers.receive_call(4.0, endpoint, 2)
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -174,7 +174,7 @@
         ("idem", "error", []),
     ],
 )
-def test_handing_back_breaks_the_rule_if_a_resubmission_may_take_effect_twice(stream, outcome, rules):
+def test_rejecting_an_accepted_event_breaks_the_rule_if_a_resubmission_is_unsafe(stream, outcome, rules):
     assert (
         RecordedRun().submit("a", stream=stream).attempt("a", 10.0, outcome).notify("a", 100.0).broken_rules()
         == rules
@@ -252,7 +252,7 @@
     assert recorded.broken_rules() == rules
 
 
-def test_events_of_different_subjects_or_nodes_need_no_order():
+def test_events_of_different_ordering_keys_or_nodes_need_no_order():
     recorded = RecordedRun().submit("a", 0.0, "turn", subject="s").submit("b", 5.0, "turn", subject="t")
     recorded.submit("c", 6.0, "turn", subject="s", node="n1").attempt("b", 12.0, "done").attempt(
         "c", 13.0, "done"
--- a/tests/lab/test_shut_and_cold.py
+++ b/tests/lab/test_shut_and_cold.py
@@ -2,9 +2,9 @@
 
 Protects against the same failure as tests/routing/test_slow_start_budget.py, on real sockets and clocks. Each
 node saw only one or two rejected calls during an outage, and after the recovery the nodes together overloaded
-the destinations that were warming up. With seed 2 the referee reported four of fourteen recoveries, the last
-of them as "destination 17: load 12.0 in 2000 ms, 9.0 of it from nodes told of the outage, budget 3.3,
-1429 ms after its return".
+the destinations that were warming up. Before the fix, with seed 2, the referee reported four of fourteen
+recoveries. The last of them was that of destination 17: 1429 ms after it, the load was 12.0 in 2000 ms, 9.0
+of it from nodes aware of the outage, with a budget of 3.3.
 """
 
 import anyio
--- a/tests/lab/wrong_node.py
+++ b/tests/lab/wrong_node.py
@@ -43,7 +43,7 @@
 
 
 class SendsRejected(Correct):
-    """Answers each valid submission with 503 and sends the event nevertheless."""
+    """Responds to each valid submission with 503 and sends the event nevertheless."""
 
     def accept(self, request):
         reply = super().accept(request)
@@ -92,7 +92,7 @@
 
 
 class IgnoresDraining(Correct):
-    """Never polls the endpoint list."""
+    """Never polls the endpoint list, and so continues to call draining endpoints."""
 
     async def follow_discovery(self):
         await asyncio.sleep(3600)
@@ -119,8 +119,8 @@
 
 
 NODES = {
-    kind.__name__: kind
-    for kind in (
+    node_class.__name__: node_class
+    for node_class in (
         Correct,
         LosesEvents,
         NotifiesTwice,
