--- a/swiftthread/lab/emulator/discovery.py
+++ b/swiftthread/lab/emulator/discovery.py
@@ -100,7 +100,7 @@
         self._on_notification = on_notification
 
     async def open(self) -> None:
-        """Listen on a free port."""
+        """Listen on an unused port."""
         self._server = await listen(lambda: DiscoveryConnection(self))
         self.address = address_of(self._server.sockets[0])
 
--- a/swiftthread/lab/emulator/notification_feed.py
+++ b/swiftthread/lab/emulator/notification_feed.py
@@ -39,7 +39,7 @@
         self._record_writer = record_writer
 
     async def open(self) -> None:
-        """Listen on a free port."""
+        """Listen on an unused port."""
         self._server = await listen(lambda: FeedConnection(self))
         self.address = address_of(self._server.sockets[0])
 
--- a/swiftthread/lab/referee/evidence.py
+++ b/swiftthread/lab/referee/evidence.py
@@ -79,9 +79,9 @@
         destination: The number of its destination.
         stream: Its stream type.
         subject: Its ordering key; empty for none.
-        expires_at: When its maximum age is reached.
+        expires_at: When the event reaches its max age.
         submitted_at: When the client began to submit it.
-        scheduled_at: When the client was scheduled to submit it.
+        scheduled_at: When the event's first submission was scheduled.
         status: The HTTP status of the response; 0 when none arrived in time, None when the client recorded
             no result.
         response_received_at: When the client recorded the status; infinite when it recorded none.
--- a/swiftthread/lab/run_records.py
+++ b/swiftthread/lab/run_records.py
@@ -42,7 +42,7 @@
         key: The idempotency key. Empty if there is none.
         subject: The ordering key. Empty if there is none.
         expires_at: The time at which the event reaches its max age.
-        scheduled_at: The time at which the first submission was scheduled.
+        scheduled_at: The time at which the event's first submission was scheduled.
     """
 
     event_id: str
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -1,4 +1,4 @@
-"""Tests the emulator over sockets: the effects of faults on callers, and that a run leaves no processes."""
+"""The emulator over sockets: the effects of faults on callers, and that a run leaves no processes."""
 
 import json
 import os
