--- a/swiftthread/client/endpoint_call.py
+++ b/swiftthread/client/endpoint_call.py
@@ -70,7 +70,7 @@
         self.send_deadline = send_deadline
         self.started_at = clock()
         self.initial_deadlines = [
-            send_deadline(send.pending.event, batch.endpoint, self.started_at) for send in batch.sends
+            send_deadline(send.pending.router_event, batch.endpoint, self.started_at) for send in batch.sends
         ]
         self.key = connections.key_of(batch.endpoint)
         self.connection: Connection | None = None
@@ -150,7 +150,7 @@
             deadline = -math.inf
             # If the endpoint's address has changed, the old one may now belong to another endpoint.
             if self.connections.key_of(endpoint) == self.key:
-                deadline = self.send_deadline(send.pending.event, endpoint, now)
+                deadline = self.send_deadline(send.pending.router_event, endpoint, now)
             if now < deadline and now < send.times_out_at:
                 write_by = min(write_by, deadline)
             else:
--- a/swiftthread/client/endpoint_client.py
+++ b/swiftthread/client/endpoint_client.py
@@ -77,12 +77,12 @@
         The next `start_batches` starts the call, together with the other events of the same call.
         """
         now = self.clock()
-        call = pending.event.call
+        call = pending.router_event.call
         batch = self.batches.get(call)
         if batch is None:
             batch = self.batches[call] = Batch(send.endpoint)
         times_out_at = now + send.timeout_ms
-        deadline = self.send_deadline(pending.event, send.endpoint, now)
+        deadline = self.send_deadline(pending.router_event, send.endpoint, now)
         is_last_attempt = times_out_at >= deadline - DEADLINE_TOLERANCE_MS
         batched_send = batch.add(pending, times_out_at, is_last_attempt)
         await batched_send.finished.wait()
--- a/swiftthread/client/endpoint_response.py
+++ b/swiftthread/client/endpoint_response.py
@@ -94,8 +94,8 @@
         # After its expiry an event cannot be acked: its client has already received another outcome.
         if event_outcome == SendOutcome.ACKED and call.received_at > pending.expires_at:
             event_outcome = SendOutcome.TIMED_OUT
-        is_finished = is_status_gone or state is EventState.VOID or event_outcome == SendOutcome.ACKED
-        results.append(SendResult(event_outcome, call.latency_ms, retry_after_ms, is_finished, report))
+        is_event_finished = is_status_gone or state is EventState.VOID or event_outcome == SendOutcome.ACKED
+        results.append(SendResult(event_outcome, call.latency_ms, retry_after_ms, is_event_finished, report))
     return results
 
 
--- a/swiftthread/configuration/node_config.py
+++ b/swiftthread/configuration/node_config.py
@@ -8,10 +8,10 @@
 
 from swiftthread.configuration.settings_reader import (
     MalformedInput,
-    SettingNames,
+    SettingNumbers,
     find_settings_warnings,
     read_report_fields,
-    read_setting_names,
+    read_setting_numbers,
     read_settings,
 )
 from swiftthread.network.address import parse_address
@@ -49,7 +49,7 @@
     initial_list: dict[str, Any] | None
     """Endpoint list to start with, in the format of discovery; None if the watch has to deliver the first."""
     settings: Settings
-    names: SettingNames
+    setting_numbers: SettingNumbers
     report_fields: Sequence[str]
     """Names of the load report's fields."""
     settings_warnings: Sequence[str]
@@ -89,7 +89,7 @@
         settings = read_settings(settings_document)
         report_fields = read_report_fields(settings_document)
         settings_warnings = list(find_settings_warnings(settings_document))
-        names = read_setting_names(settings_document)
+        setting_numbers = read_setting_numbers(settings_document)
     initial_list = document.get("known")
     return NodeConfig(
         name=name,
@@ -100,7 +100,7 @@
         limits=document.get("limits") or {},
         initial_list=initial_list if isinstance(initial_list, dict) else None,
         settings=settings,
-        names=names,
+        setting_numbers=setting_numbers,
         report_fields=report_fields,
         settings_warnings=settings_warnings,
         start_only_values={key: document.get(key) for key in START_ONLY_KEYS},
--- a/swiftthread/configuration/settings_reader.py
+++ b/swiftthread/configuration/settings_reader.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class SettingNames:
+class SettingNumbers:
     """Numbers that the router uses for the names in the settings document."""
 
     stream_type_numbers: dict[str, int]
@@ -82,7 +82,7 @@
         "may_send_retry_after": permissions.get("RetryAfter"),
         "max_retry_after_ms": _to_ms(permissions.get("MaxRetryAfter")),
         "polls_discovery": document.get("Discovery") == "ask",
-        "poll_within_ms": _to_ms(obligations.get("AskWithin")),
+        "max_list_request_pause_ms": _to_ms(obligations.get("AskWithin")),
         "overload_multiple": obligations.get("FallMultiple"),
         "cold_capacity_share": obligations.get("ColdFrom"),
         "warm_up_ms": _to_ms(obligations.get("WarmUp")),
@@ -146,9 +146,9 @@
         yield f"Window is {window_s!r}, not a positive time; events that may have run are not sent again"
 
 
-def read_setting_names(document: Mapping[str, Any]) -> SettingNames:
+def read_setting_numbers(document: Mapping[str, Any]) -> SettingNumbers:
     """Read the names that the configuration, discovery and clients use, with their numbers in the router."""
-    return SettingNames(
+    return SettingNumbers(
         stream_type_numbers=_number_by_name(
             profile.get("Name") for profile in document.get("Profiles") or ()
         ),
--- a/swiftthread/lab/capacity.py
+++ b/swiftthread/lab/capacity.py
@@ -121,7 +121,7 @@
     acked_times = [
         record.at
         for record in records
-        if isinstance(record, run_records.ReplySent) and record.outcome == CallOutcome.DONE
+        if isinstance(record, run_records.ResponseSent) and record.outcome == CallOutcome.DONE
     ]
     count = sum(at <= ends_at for at in acked_times)
     return AckRate(per_second=count / seconds, count_after_load=len(acked_times) - count)
--- a/swiftthread/lab/cli/process_commands.py
+++ b/swiftthread/lab/cli/process_commands.py
@@ -67,4 +67,4 @@
     else:
         from swiftthread.lab import relay as baselines
 
-        baselines.main(baselines.NODE_KINDS[kind])
+        baselines.main(baselines.BASELINE_CLASSES[kind])
--- a/swiftthread/lab/cli/run_commands.py
+++ b/swiftthread/lab/cli/run_commands.py
@@ -31,8 +31,8 @@
     yield (
         f"  {counts.get(Count.EVENTS, 0)} events, {counts.get(Count.ACKED, 0)} acked, "
         f"{counts.get(Count.REJECTED, 0)} rejected at submission, "
-        f"{counts.get(EventOutcome.HANDED_BACK, 0)} rejected later, "
-        f"{counts.get(EventOutcome.GIVEN_UP, 0)} abandoned"
+        f"{counts.get(EventOutcome.REJECTED, 0)} rejected later, "
+        f"{counts.get(EventOutcome.ABANDONED, 0)} abandoned"
     )
     latency = result.submission_latency_ms
     yield (
@@ -143,9 +143,9 @@
 
     incidents = {path: load_incident(path) for path in paths}
     revisions = (builds.TREE_REVISION, *revs)
-    cells = experiment.cells(incidents, loads or (1.0,), range(1, seeds + 1), nodes, revisions)
-    results = run_async(experiment.play, cells, into, jobs, _show_result_line)
-    for line in experiment.summary(results):
+    cells = experiment.matrix_cells(incidents, loads or (1.0,), range(1, seeds + 1), nodes, revisions)
+    results = run_async(experiment.run_cells, cells, into, jobs, _show_result_line)
+    for line in experiment.summary_lines(results):
         click.echo(line)
     click.echo(f"report: {write_matrix(results, into)}")
     sys.exit(EXIT_BROKEN_RULES if any(result.breaches for result in results) else 0)
@@ -164,9 +164,11 @@
 
     incidents = {path: load_incident(path) for path in paths or incident_file.shipped_names()}
     revisions = (rev, builds.TREE_REVISION)
-    cells = experiment.cells(incidents, (1.0,), range(1, seeds + 1), (NodeKind.SWIFTTHREAD,), revisions)
-    results = run_async(experiment.play, cells, into, jobs, _show_result_line)
-    for line in experiment.comparison(results, *revisions):
+    cells = experiment.matrix_cells(
+        incidents, (1.0,), range(1, seeds + 1), (NodeKind.SWIFTTHREAD,), revisions
+    )
+    results = run_async(experiment.run_cells, cells, into, jobs, _show_result_line)
+    for line in experiment.comparison_lines(results, *revisions):
         click.echo(line)
 
 
--- a/swiftthread/lab/emulator/calls.py
+++ b/swiftthread/lab/emulator/calls.py
@@ -18,7 +18,7 @@
     CallReceived,
     HealthCheckReceived,
     RecordWriter,
-    ReplySent,
+    ResponseSent,
     monotonic_ms,
 )
 
@@ -140,7 +140,7 @@
             self._send_response(response)
 
     def _send_response(self, response: CallResponse) -> None:
-        if response.call not in self._pending or response.outcome == CallOutcome.NO_REPLY:
+        if response.call not in self._pending or response.outcome == CallOutcome.NO_RESPONSE:
             return
         pending = self._pending.pop(response.call)
         connection = pending.connection
@@ -150,7 +150,7 @@
             self._record_writer.write(CallerDisconnected(now, response.call.tag))
             return
         self._record_writer.write(
-            ReplySent(now, response.call.tag, response.outcome, response.retry_after_ms)
+            ResponseSent(now, response.call.tag, response.outcome, response.retry_after_ms)
         )
         if response.outcome == CallOutcome.RESET:
             connection.reset()
--- a/swiftthread/lab/emulator/fault_injector.py
+++ b/swiftthread/lab/emulator/fault_injector.py
@@ -71,7 +71,7 @@
             for discovery in self._discovery_servers:
                 discovery.drop_watches()
         elif step.what in ENDPOINT_FAULT_KINDS:
-            self._inject(_fault_of(step), self._incident.targets(step.on))
+            self._inject(_fault_of(step), self._incident.target_endpoints(step.on))
         # The remaining steps change the load or the nodes, and are applied by other processes.
 
     def _inject(self, fault: Fault, endpoint_names: list[str]) -> None:
--- a/swiftthread/lab/emulator/notification_feed.py
+++ b/swiftthread/lab/emulator/notification_feed.py
@@ -46,7 +46,7 @@
     def publish(self, notification: NotificationReceived) -> None:
         """Record a notification; send `[event id, Retry-After in ms]` as a line if it is `handed_back`."""
         self._record_writer.write(notification)
-        if notification.outcome != EventOutcome.HANDED_BACK:
+        if notification.outcome != EventOutcome.REJECTED:
             return
         line = json.dumps([notification.event_id, notification.retry_after_ms]).encode() + b"\n"
         for subscriber in self.subscribers:
--- a/swiftthread/lab/experiment/__init__.py
+++ b/swiftthread/lab/experiment/__init__.py
@@ -1,13 +1,13 @@
 """Experiments: a matrix of runs, its results, and the comparison of two builds over pairs of runs."""
 
-from swiftthread.lab.experiment.matrix import MatrixCell, cells, play
-from swiftthread.lab.experiment.paired_comparison import comparison
+from swiftthread.lab.experiment.matrix import MatrixCell, matrix_cells, run_cells
+from swiftthread.lab.experiment.paired_comparison import comparison_lines
 from swiftthread.lab.experiment.results import (
     CellKey,
     MatrixGroup,
     MatrixResult,
     group_by_cell,
-    summary,
+    summary_lines,
     valid_results,
 )
 
@@ -16,10 +16,10 @@
     "MatrixCell",
     "MatrixGroup",
     "MatrixResult",
-    "cells",
-    "comparison",
+    "comparison_lines",
     "group_by_cell",
-    "play",
-    "summary",
+    "matrix_cells",
+    "run_cells",
+    "summary_lines",
     "valid_results",
 ]
--- a/swiftthread/lab/experiment/matrix.py
+++ b/swiftthread/lab/experiment/matrix.py
@@ -54,7 +54,7 @@
         return 1 + self.incident.load.processes + self.incident.fleet.nodes
 
 
-def cells(
+def matrix_cells(
     incidents: Mapping[str, Incident],
     loads: Iterable[float],
     seeds: Sequence[int],
@@ -150,7 +150,7 @@
         return line
 
 
-async def play(
+async def run_cells(
     planned_cells: Sequence[MatrixCell], folder: Path, jobs: int | None, report: ReportLine
 ) -> list[MatrixResult]:
     """Execute all runs of a matrix; a void run is repeated once.
--- a/swiftthread/lab/experiment/paired_comparison.py
+++ b/swiftthread/lab/experiment/paired_comparison.py
@@ -91,7 +91,7 @@
     )
 
 
-def comparison(results: Sequence[MatrixResult], before: str, after: str) -> Iterator[str]:
+def comparison_lines(results: Sequence[MatrixResult], before: str, after: str) -> Iterator[str]:
     """Yield lines that compare the service measure and the broken rules of two revisions."""
     differences_by_incident = paired_differences(results, before, after)
     for incident, differences in differences_by_incident.items():
--- a/swiftthread/lab/experiment/results.py
+++ b/swiftthread/lab/experiment/results.py
@@ -89,7 +89,7 @@
     return [MatrixGroup(key, group) for key, group in sorted(groups.items())]
 
 
-def summary(results: Sequence[MatrixResult]) -> Iterator[str]:
+def summary_lines(results: Sequence[MatrixResult]) -> Iterator[str]:
     """Yield lines: the broken rules, a table of means and spreads over the seeds, and the void runs."""
     for result in results:
         for breach in result.breaches[:MAX_BREACHES_PER_RUN]:
--- a/swiftthread/lab/http_client.py
+++ b/swiftthread/lab/http_client.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpReply:
+class HttpResponse:
     """A response without its body; `status` is `NO_STATUS` if the connection closed without a response."""
 
     status: int
@@ -37,7 +37,7 @@
     def __init__(self, idle: list["HttpClientConnection"]) -> None:
         self.has_been_used = False
         self._idle = idle
-        self._pending_reply: asyncio.Future[HttpReply] | None = None
+        self._pending_reply: asyncio.Future[HttpResponse] | None = None
         self._headers: dict[str, str] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -45,7 +45,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self._parser = httptools.HttpResponseParser(self)
 
-    def request(self, data: bytes) -> asyncio.Future[HttpReply]:
+    def request(self, data: bytes) -> asyncio.Future[HttpResponse]:
         """Write an encoded request; return a future for its reply."""
         self._pending_reply = asyncio.get_running_loop().create_future()
         self._headers = {}
@@ -65,7 +65,7 @@
 
     def on_message_complete(self) -> None:
         """Complete the request with its reply, and reuse or close the connection; see `httptools`."""
-        self._set_reply(HttpReply(self._parser.get_status_code(), self._headers))
+        self._set_reply(HttpResponse(self._parser.get_status_code(), self._headers))
         if self._parser.should_keep_alive():
             self._parser = httptools.HttpResponseParser(self)
             self._idle.append(self)
@@ -76,9 +76,9 @@
         """Complete a pending request with `NO_STATUS`; see `asyncio.Protocol`."""
         if self in self._idle:
             self._idle.remove(self)
-        self._set_reply(HttpReply(NO_STATUS, {}))
+        self._set_reply(HttpResponse(NO_STATUS, {}))
 
-    def _set_reply(self, reply: HttpReply) -> None:
+    def _set_reply(self, reply: HttpResponse) -> None:
         pending_reply = self._pending_reply
         self._pending_reply = None
         if pending_reply is not None and not pending_reply.done():
--- a/swiftthread/lab/incident.py
+++ b/swiftthread/lab/incident.py
@@ -243,7 +243,7 @@
         at_ms: When the step is applied, in ms since the start of the load.
         what: The kind of step: a value of `EndpointFault`, `NodeFault`, `DiscoveryFault` or `LoadChange`.
         on: What the step applies to: `node:NUMBER` for a `NodeFault`, endpoints as described at
-            `Incident.targets` for an `EndpointFault`.
+            `Incident.target_endpoints` for an `EndpointFault`.
         for_ms: The duration of the step; 0 means that an endpoint's fault lasts until it is healed. For
             `kill` and `restart`, the time between the node's exit and its next start; 0 means the default.
         share: The share of calls or connections that are affected.
@@ -267,14 +267,14 @@
     Attributes:
         name: The endpoint's name, `d<destination>-<index>`.
         destination: The number of the endpoint's destination.
-        settings: The table that declares the destination.
+        destination_table: The table that declares the destination.
         zone: The endpoint's zone.
         is_spare: Whether the endpoint is listed only after a `join` step.
     """
 
     name: str
     destination: int
-    settings: Destination
+    destination_table: Destination
     zone: str
     is_spare: bool
 
@@ -321,18 +321,18 @@
 
     def endpoints(self) -> Iterator[EndpointDeclaration]:
         """Yield all endpoints, spares included, in the order in which their names are assigned."""
-        for settings in self.destination:
-            for number in range(settings.number, settings.number + settings.count):
-                for index in range(settings.endpoints + settings.spares):
+        for destination_table in self.destination:
+            for number in range(destination_table.number, destination_table.number + destination_table.count):
+                for index in range(destination_table.endpoints + destination_table.spares):
                     yield EndpointDeclaration(
                         name=f"d{number}-{index}",
                         destination=number,
-                        settings=settings,
+                        destination_table=destination_table,
                         zone=self.halls[index % len(self.halls)],
-                        is_spare=index >= settings.endpoints,
+                        is_spare=index >= destination_table.endpoints,
                     )
 
-    def targets(self, on: str) -> list[str]:
+    def target_endpoints(self, on: str) -> list[str]:
         """Return the names of the endpoints that a step applies to.
 
         Args:
--- a/swiftthread/lab/incident_file.py
+++ b/swiftthread/lab/incident_file.py
@@ -133,7 +133,7 @@
         yield f"{key}.at_ms: the step ends after lasts_s"
     if step.what not in KNOWN_STEPS:
         yield f"{key}.what: {step.what!r} is not one of {', '.join(sorted(KNOWN_STEPS))}"
-    elif step.what in ENDPOINT_FAULTS and not incident.targets(step.on):
+    elif step.what in ENDPOINT_FAULTS and not incident.target_endpoints(step.on):
         yield f"{key}.on: {step.on!r} matches no declared endpoint"
     elif step.what in NODE_FAULTS and step.on not in [f"node:{n}" for n in range(incident.fleet.nodes)]:
         yield f"{key}.on: {step.on!r} is not a node; expected node:0 to node:{incident.fleet.nodes - 1}"
--- a/swiftthread/lab/load.py
+++ b/swiftthread/lab/load.py
@@ -20,10 +20,10 @@
 from swiftthread.lab.background_tasks import BackgroundTasks
 from swiftthread.lab.control_channel import go_commands, open_stdin
 from swiftthread.lab.event_loop_lag import EventLoopLagMonitor
-from swiftthread.lab.http_client import NO_STATUS, ConnectionPool, HttpReply
+from swiftthread.lab.http_client import NO_STATUS, ConnectionPool, HttpResponse
 from swiftthread.lab.incident import Incident
 from swiftthread.lab.run_records import (
-    ClientAnswered,
+    ClientResponded,
     EventSubmitted,
     LatencyHistogramRecorded,
     RecordWriter,
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SubmissionReply:
+class SubmissionResponse:
     """The node's response to a submission, or the failure of the submission.
 
     Attributes:
@@ -142,7 +142,7 @@
         reply = await self._request(self._node_pools[node_number], event_id, event)
         now = monotonic_ms()
         self._record_writer.write(
-            ClientAnswered(now, event_id, reply.status, reply.retry_after_ms, reply.is_connection_broken)
+            ClientResponded(now, event_id, reply.status, reply.retry_after_ms, reply.is_connection_broken)
         )
         self._histogram.record_value(int(1000.0 * max(0.0, now - latency_started_at)) or 1)
         if reply.status == 202:
@@ -181,22 +181,22 @@
         await asyncio.sleep(wait_ms / 1000.0)
         await self._submit(event)
 
-    async def _request(self, pool: ConnectionPool, event_id: str, event: Event) -> SubmissionReply:
+    async def _request(self, pool: ConnectionPool, event_id: str, event: Event) -> SubmissionResponse:
         """Submit an event to a node and wait up to `patience_ms` for the response."""
         try:
             async with asyncio.timeout(self._load.patience_ms / 1000.0):
                 reply = await self._exchange(pool, event_id, event)
         except (TimeoutError, OSError):
-            return SubmissionReply(NO_STATUS)
+            return SubmissionResponse(NO_STATUS)
         if not reply.is_response():
-            return SubmissionReply(NO_STATUS, is_connection_broken=True)
+            return SubmissionResponse(NO_STATUS, is_connection_broken=True)
         try:
             retry_after_ms = 1000.0 * float(reply.headers.get("retry-after", 0))
         except ValueError:
             retry_after_ms = 0.0
-        return SubmissionReply(reply.status, retry_after_ms)
+        return SubmissionResponse(reply.status, retry_after_ms)
 
-    async def _exchange(self, pool: ConnectionPool, event_id: str, event: Event) -> HttpReply:
+    async def _exchange(self, pool: ConnectionPool, event_id: str, event: Event) -> HttpResponse:
         connection = await pool.acquire()
         try:
             reply = await connection.request(self._encode_request(event_id, event))
--- a/swiftthread/lab/outcomes.py
+++ b/swiftthread/lab/outcomes.py
@@ -17,7 +17,7 @@
     """The connection was reset."""
     TRUNCATED = "half"
     """The response was truncated and the connection closed."""
-    NO_REPLY = "nothing"
+    NO_RESPONSE = "nothing"
     """No response is sent; the call stays open until the caller disconnects."""
 
 
@@ -40,9 +40,9 @@
 class EventOutcome(StrEnum):
     """The final outcome of an accepted event that was not acknowledged, as in the notification of a node."""
 
-    HANDED_BACK = "handed_back"
+    REJECTED = "handed_back"
     """The event was not executed, or a repetition is safe: its client may resubmit it."""
-    GIVEN_UP = "given_up"
+    ABANDONED = "given_up"
     """The event may have been executed, and another attempt is not safe."""
 
 
--- a/swiftthread/lab/receiver_model.py
+++ b/swiftthread/lab/receiver_model.py
@@ -23,7 +23,7 @@
     FaultKind.ERRORS: CallOutcome.ERROR,
     FaultKind.RESET_AFTER_REQUEST: CallOutcome.RESET,
     FaultKind.TRUNCATE_RESPONSES: CallOutcome.TRUNCATED,
-    FaultKind.WITHHOLD_RESPONSES: CallOutcome.NO_REPLY,
+    FaultKind.WITHHOLD_RESPONSES: CallOutcome.NO_RESPONSE,
 }
 
 
@@ -181,7 +181,7 @@
         if endpoint.is_crashed:
             return ImmediateResponse(CallOutcome.RESET)
         if endpoint.is_unresponsive:
-            return ImmediateResponse(CallOutcome.NO_REPLY)
+            return ImmediateResponse(CallOutcome.NO_RESPONSE)
         if endpoint.is_draining or endpoint.is_removed:
             return ImmediateResponse(CallOutcome.UNAVAILABLE)
         destination = endpoint.destination
--- a/swiftthread/lab/referee/effect_rules.py
+++ b/swiftthread/lab/referee/effect_rules.py
@@ -59,9 +59,7 @@
 def _check_handed_back(event: SubmittedEvent) -> Iterator[Breach]:
     """Check that a node rejects an accepted event that may have run only if a resubmission is safe."""
     handed_back_notifications = [
-        notification
-        for notification in event.notifications
-        if notification.outcome == EventOutcome.HANDED_BACK
+        notification for notification in event.notifications if notification.outcome == EventOutcome.REJECTED
     ]
     may_have_run = any(not attempt.was_rejected() for attempt in event.attempts)
     if handed_back_notifications and may_have_run and not _is_safe_to_resubmit(event.stream):
--- a/swiftthread/lab/referee/evidence.py
+++ b/swiftthread/lab/referee/evidence.py
@@ -213,11 +213,11 @@
 
     def _add_record(self, record: run_records.AnyRecord) -> None:
         match record:
-            case run_records.ClientAnswered():
+            case run_records.ClientResponded():
                 self._add_client_response(record)
             case run_records.CallReceived():
                 self._add_call(record)
-            case run_records.ReplySent():
+            case run_records.ResponseSent():
                 self._add_endpoint_response(record)
             case run_records.CallerDisconnected():
                 self.calls[record.call].disconnected_at = record.at
@@ -240,7 +240,7 @@
             case run_records.NodeLifecycleChanged():
                 self.lifecycles[record.node].changes.append(StateChange(record.at, record.state))
 
-    def _add_client_response(self, record: run_records.ClientAnswered) -> None:
+    def _add_client_response(self, record: run_records.ClientResponded) -> None:
         event = self.events[record.event_id]
         event.status = record.status
         event.response_received_at = record.at
@@ -260,7 +260,7 @@
             else:
                 self.unknown_events.append(UnknownEvent(record.at, event_id))
 
-    def _add_endpoint_response(self, record: run_records.ReplySent) -> None:
+    def _add_endpoint_response(self, record: run_records.ResponseSent) -> None:
         attempt = self.calls[record.call]
         attempt.outcome = record.outcome
         attempt.responded_at = record.at
--- a/swiftthread/lab/referee/outcome_rules.py
+++ b/swiftthread/lab/referee/outcome_rules.py
@@ -45,7 +45,7 @@
         text = f"notified of more than one outcome: {' and '.join(sorted(outcomes))}"
         yield _breach(event, event.notifications[-1].at, text)
     if (
-        EventOutcome.HANDED_BACK in outcomes
+        EventOutcome.REJECTED in outcomes
         and event.is_accepted()
         and event.acked_at() < event.notifications[0].at - CLOSE_RACE_MS
         and not evidence.lifecycles[event.node].is_down(event.acked_at())
--- a/swiftthread/lab/relay.py
+++ b/swiftthread/lab/relay.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from swiftthread.lab.background_tasks import BackgroundTasks
-from swiftthread.lab.http_client import NO_STATUS, ConnectionPool, HttpClientConnection, HttpReply
+from swiftthread.lab.http_client import NO_STATUS, ConnectionPool, HttpClientConnection, HttpResponse
 from swiftthread.lab.http_server import HttpRequest, HttpServerConnection, encode_response
 from swiftthread.lab.node_configuration import (
     ListedEndpoint,
@@ -205,7 +205,7 @@
 
     def final_outcome(self, event: Event) -> EventOutcome:
         """Return the final outcome of an event that gets no further attempt."""
-        return EventOutcome.HANDED_BACK if event.may_retry() else EventOutcome.GIVEN_UP
+        return EventOutcome.REJECTED if event.may_retry() else EventOutcome.ABANDONED
 
     async def notify(self, event: Event, outcome: EventOutcome) -> None:
         """Notify the platform of the final outcome of an event."""
@@ -232,7 +232,7 @@
             event.possibly_executed_at = started_at
         return AttemptResult(reply.status)
 
-    async def call(self, event: Event, endpoint: ListedEndpoint) -> HttpReply:
+    async def call(self, event: Event, endpoint: ListedEndpoint) -> HttpResponse:
         """Call an endpoint; return its response, or a reply with the status `NO_STATUS` or `NOT_SENT`."""
         connection: HttpClientConnection | None = None
         timeout_ms = max(MIN_CALL_TIMEOUT_MS, min(MAX_CALL_TIMEOUT_MS, event.remaining_ms()))
@@ -242,11 +242,11 @@
                 return await connection.request(_encode_call(event))
         except TimeoutError:
             if connection is None:
-                return HttpReply(NOT_SENT, {})
+                return HttpResponse(NOT_SENT, {})
             connection.abort()
-            return HttpReply(NO_STATUS, {})
+            return HttpResponse(NO_STATUS, {})
         except OSError:
-            return HttpReply(NOT_SENT, {})
+            return HttpResponse(NOT_SENT, {})
 
     def _pool(self, endpoint: ListedEndpoint) -> ConnectionPool:
         if endpoint not in self._pools:
@@ -363,7 +363,7 @@
         return self.final_outcome(event)
 
 
-NODE_KINDS = {"once": SingleAttemptNode, "backoff": BackoffNode, "aimd": AimdNode}
+BASELINE_CLASSES = {"once": SingleAttemptNode, "backoff": BackoffNode, "aimd": AimdNode}
 
 
 def main(node_class: type[SingleAttemptNode]) -> None:
--- a/swiftthread/lab/report/run_plots.py
+++ b/swiftthread/lab/report/run_plots.py
@@ -148,7 +148,7 @@
 
 def _draw_request_rate(axes: Axes, run: RunData) -> None:
     rate_limits = {
-        endpoint.destination: endpoint.settings.rate_per_s for endpoint in run.incident.endpoints()
+        endpoint.destination: endpoint.destination_table.rate_per_s for endpoint in run.incident.endpoints()
     }
     seconds = range(int(run.incident.duration_s))
     for destination in list(rate_limits)[:MAX_DESTINATIONS]:
--- a/swiftthread/lab/run_records.py
+++ b/swiftthread/lab/run_records.py
@@ -56,7 +56,7 @@
     scheduled_at: float
 
 
-class ClientAnswered(RunRecord, tag="client_answered"):
+class ClientResponded(RunRecord, tag="client_answered"):
     """A client received the response to a submission, or stopped waiting for it.
 
     Attributes:
@@ -92,7 +92,7 @@
     first_byte_at: float
 
 
-class ReplySent(RunRecord, tag="reply_sent"):
+class ResponseSent(RunRecord, tag="reply_sent"):
     """An endpoint responded to a call."""
 
     call: int
@@ -170,9 +170,9 @@
 
 AnyRecord = (
     EventSubmitted
-    | ClientAnswered
+    | ClientResponded
     | CallReceived
-    | ReplySent
+    | ResponseSent
     | CallerDisconnected
     | HealthCheckReceived
     | EndpointStateAnnounced
--- a/swiftthread/routing/endpoint.py
+++ b/swiftthread/routing/endpoint.py
@@ -61,7 +61,7 @@
     """When the first of those calls was rejected."""
     connection_limit_reached_at: float = -math.inf
     """When the endpoint last appeared to have reached its connection limit."""
-    retry_at: float = -math.inf
+    blocked_until: float = -math.inf
     """No call is sent before this time, after a rejected connection.
 
     An endpoint whose calls are not paced has no other pause.
--- a/swiftthread/routing/endpoint_list.py
+++ b/swiftthread/routing/endpoint_list.py
@@ -9,7 +9,7 @@
 from swiftthread.routing.events import Destination
 from swiftthread.routing.messages import EndpointEntry
 from swiftthread.routing.rate_limiter import FleetSharing, RateLimiter
-from swiftthread.routing.recovery import RecoveryRamp
+from swiftthread.routing.recovery import RecoveryPacing
 from swiftthread.routing.settings import ListedRates, Settings
 
 # The state of a removed endpoint is retained for this many warm-ups after its last outcome, in case the list
@@ -20,7 +20,7 @@
 class EndpointList:
     """The endpoints and destinations that this node knows."""
 
-    def __init__(self, settings: Settings, recovery: RecoveryRamp) -> None:
+    def __init__(self, settings: Settings, recovery: RecoveryPacing) -> None:
         self.settings = settings
         self.recovery = recovery
         self.sharing = FleetSharing.from_settings(settings)
--- a/swiftthread/routing/events.py
+++ b/swiftthread/routing/events.py
@@ -51,7 +51,7 @@
     priority_weight: float
     latency_objective_at: float
     expires_at: float
-    check_at: float
+    next_check_at: float
     """When to decide again."""
     waits_for_outcome: bool = False
     """Whether to decide again also when any attempt of this node has its outcome."""
--- a/swiftthread/routing/health.py
+++ b/swiftthread/routing/health.py
@@ -11,7 +11,7 @@
 from swiftthread.routing.messages import UNRELATED_TO_HEALTH, LoadReport, SendOutcome
 from swiftthread.routing.observer import EndpointDown, EndpointRecovering, RoutingObserver
 from swiftthread.routing.rate_limiter import RateLimiter
-from swiftthread.routing.recovery import RecoveryRamp
+from swiftthread.routing.recovery import RecoveryPacing
 from swiftthread.routing.settings import Settings, StreamType
 
 # After this time without an ack, one call without a response or a connection indicates an outage.
@@ -54,7 +54,7 @@
         self,
         settings: Settings,
         endpoint_list: EndpointList,
-        recovery: RecoveryRamp,
+        recovery: RecoveryPacing,
         jitter: Jitter,
         observer: RoutingObserver,
     ) -> None:
@@ -69,7 +69,7 @@
         An ack, or removal from the endpoint list, deletes the entry.
         """
 
-    def forget(self, endpoint: Endpoint) -> None:
+    def remove_endpoint(self, endpoint: Endpoint) -> None:
         """Delete the state of an endpoint that was removed from the endpoint list."""
         self.down_endpoints.pop(endpoint, None)
 
@@ -126,7 +126,9 @@
         all calls to the endpoint pause, and it is marked down if its destination acks nothing meanwhile.
         """
         endpoint.connection_limit_reached_at = now
-        endpoint.retry_at = now + MIN_TRIAL_PAUSE_MS * self.jitter.uniform(*REJECTED_CONNECTION_PAUSE_FACTORS)
+        endpoint.blocked_until = now + MIN_TRIAL_PAUSE_MS * self.jitter.uniform(
+            *REJECTED_CONNECTION_PAUSE_FACTORS
+        )
         if not endpoint.consecutive_rejected_connections:
             endpoint.connections_rejected_since = now
         endpoint.consecutive_rejected_connections += 1
@@ -177,7 +179,7 @@
                 endpoint.endpoint_id,
                 endpoint.destination.number,
                 warm_up_elapsed_ms=now - endpoint.warm_up_began_at,
-                next_call_ms=limiter.next_recovery_slot_at - now,
+                time_to_next_call_ms=limiter.next_recovery_slot_at - now,
             )
         )
 
@@ -306,8 +308,8 @@
                 endpoint.destination.number,
                 last_outcome=outcome,
                 consecutive_failures=endpoint.consecutive_failures,
-                unacked_ms=now - endpoint.acked_at,
-                next_trial_ms=endpoint.rate_limiter.next_recovery_slot_at - now,
+                time_since_ack_ms=now - endpoint.acked_at,
+                time_to_next_trial_ms=endpoint.rate_limiter.next_recovery_slot_at - now,
             )
         )
 
--- a/swiftthread/routing/health_checks.py
+++ b/swiftthread/routing/health_checks.py
@@ -8,14 +8,14 @@
 from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.health import HealthTracker
 from swiftthread.routing.messages import SendOutcome
-from swiftthread.routing.recovery import RecoveryRamp
+from swiftthread.routing.recovery import RecoveryPacing
 from swiftthread.routing.settings import Settings
 
 
 class HealthChecks:
     """Schedules health checks at the pace of trials."""
 
-    def __init__(self, settings: Settings, health: HealthTracker, recovery: RecoveryRamp) -> None:
+    def __init__(self, settings: Settings, health: HealthTracker, recovery: RecoveryPacing) -> None:
         self.may_send = settings.may_send_health_checks
         self.health = health
         self.recovery = recovery
@@ -36,7 +36,7 @@
             endpoint.rate_limiter.set_next_recovery_slot(now + self.recovery.pause_ms(endpoint, now))
         return due
 
-    def record(self, endpoint: Endpoint, outcome: SendOutcome) -> None:
+    def record_outcome(self, endpoint: Endpoint, outcome: SendOutcome) -> None:
         """Record the outcome of a health check; one that is not in flight any more counts as not passed."""
         endpoint.has_passed_health_check = (
             endpoint.has_health_check_in_flight and outcome == SendOutcome.ACKED
--- a/swiftthread/routing/list_polling.py
+++ b/swiftthread/routing/list_polling.py
@@ -28,7 +28,7 @@
         if settings.polls_discovery:
             self.initial_backoff_ms = DISCOVERY_BACKOFF_MS
             # A node that polls within this time is not expected to know changes that it has not received yet.
-            max_mean_backoff_ms = settings.poll_within_ms / (1 + BACKOFF_SPREAD)
+            max_mean_backoff_ms = settings.max_list_request_pause_ms / (1 + BACKOFF_SPREAD)
             self.max_backoff_ms = max(DISCOVERY_BACKOFF_MS, max_mean_backoff_ms)
         self.backoff_ms = self.initial_backoff_ms
 
--- a/swiftthread/routing/observer.py
+++ b/swiftthread/routing/observer.py
@@ -16,9 +16,9 @@
     last_outcome: SendOutcome | None
     """The outcome of the last call to it; None if it was marked down for failures of other endpoints."""
     consecutive_failures: int
-    unacked_ms: float
+    time_since_ack_ms: float
     """The time since the last acked call; inf if there was none."""
-    next_trial_ms: float
+    time_to_next_trial_ms: float
     """The time until the next trial may be sent."""
 
 
@@ -29,7 +29,7 @@
     destination_number: int
     warm_up_elapsed_ms: float
     """The elapsed part of the warm-up, which is assumed to have begun before the ack."""
-    next_call_ms: float
+    time_to_next_call_ms: float
     """The time until the next call may be sent."""
 
 
--- a/swiftthread/routing/recovery.py
+++ b/swiftthread/routing/recovery.py
@@ -17,7 +17,7 @@
 BUDGET_SHARE = 0.86
 
 
-class RecoveryRamp:
+class RecoveryPacing:
     """Limits this node to its share of the calls that a destination withstands while down or warming up."""
 
     def __init__(self, settings: Settings, jitter: Jitter) -> None:
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -1,12 +1,12 @@
 """Makes all routing decisions of one delivery node, which sees only its own traffic.
 
 A caller builds one `Router`, adds events (`add_event`) and reports what it observes (`apply_endpoint_list`,
-`list_request_failed`, `withdraw`, `record_health_check`). It sorts the events that are due for a decision
-(`sort_by_urgency`) and makes three calls for each of them: `decide` (returns a `Send`, `Defer`, `Reject` or
-`Abandon`), `record_outcome` (what the outcome of an attempt means for the event) and `next_check` (when to
-decide again after a `Defer`). `endpoints_due_for_health_check`, `endpoints_to_disconnect`,
-`should_request_list` and `next_wakeup_at` are called once per scheduling cycle. All times and durations are
-in milliseconds on the caller's clock. The design is described in docs/design.md.
+`record_list_request_failure`, `withdraw`, `record_health_check`). It sorts the events that are due for a
+decision (`sort_by_urgency`) and makes three calls for each of them: `decide` (returns a `Send`, `Defer`,
+`Reject` or `Abandon`), `record_outcome` (what the outcome of an attempt means for the event) and `next_check`
+(when to decide again after a `Defer`). `endpoints_due_for_health_check`, `endpoints_to_disconnect`,
+`start_due_list_request` and `next_wakeup_at` are called once per scheduling cycle. All times and durations
+are in milliseconds on the caller's clock. The design is described in docs/design.md.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 from swiftthread.routing.observer import NullObserver, RoutingObserver
 from swiftthread.routing.ordering import OrderingQueues
 from swiftthread.routing.rate_limiter import CALL_COST, SHARED_EVENT_COST
-from swiftthread.routing.recovery import RecoveryRamp
+from swiftthread.routing.recovery import RecoveryPacing
 from swiftthread.routing.retry_rules import RetryRules
 from swiftthread.routing.selection import EndpointSelector, NoneAvailable
 from swiftthread.routing.settings import Settings, StreamType
@@ -64,7 +64,7 @@
         """
         self.stream_types: list[StreamType] = list(settings.stream_types)
         self.jitter = Jitter(seed)
-        self.recovery = RecoveryRamp(settings, self.jitter)
+        self.recovery = RecoveryPacing(settings, self.jitter)
         self.endpoint_list = EndpointList(settings, self.recovery)
         self.list_polling = ListPolling(settings, self.jitter)
         self.quotas = TenantQuotas(settings)
@@ -118,13 +118,13 @@
         """Apply an endpoint list; one that is not complete contains only what changed."""
         self.list_polling.record_list_received()
         for endpoint in self.endpoint_list.apply(entries, is_complete, now):
-            self.health.forget(endpoint)
+            self.health.remove_endpoint(endpoint)
 
-    def list_request_failed(self, now: float) -> float:
+    def record_list_request_failure(self, now: float) -> float:
         """Record that a request for the endpoint list failed, and return when to make the next request."""
         return self.list_polling.record_failure(now)
 
-    def should_request_list(self, now: float) -> bool:
+    def start_due_list_request(self, now: float) -> bool:
         """Return whether to request the endpoint list now: true once, then false until a request fails."""
         return self.list_polling.start_due_request(now)
 
@@ -177,7 +177,7 @@
             priority_weight=self.quotas.weight(stream_type, tenant, now),
             latency_objective_at=expires_at - stream_type.max_age_ms + stream_type.latency_objective_ms,
             expires_at=expires_at,
-            check_at=now,
+            next_check_at=now,
         )
         self.pending.add(destination)
         if event.ordering_key:
@@ -207,11 +207,11 @@
         """
         return self.ordering.may_send_at(event, now)
 
-    def next_in_order(self, ordering_key: Hashable) -> Event | None:
+    def first_pending_of_key(self, ordering_key: Hashable) -> Event | None:
         """Return the first pending event of an ordering key; None if it has none."""
         return self.ordering.first(ordering_key)
 
-    def queue_class(self, event: Event) -> tuple[StreamType, GroupId | None]:
+    def queue_key(self, event: Event) -> tuple[StreamType, GroupId | None]:
         """Return a key: events of a destination with equal keys get the same decision until one is sent."""
         return event.stream_type, event.may_have_run_group if retry_rules.is_bound_to_group(event) else None
 
@@ -264,13 +264,13 @@
                 min(give_up_at, selection.next_available_at),
                 waits_for_outcome=selection.next_available_at == math.inf,
             )
-        event.check_at = give_up_at
+        event.next_check_at = give_up_at
         event.waits_for_outcome = False
         return self._send(event, selection.endpoint, selection.joins_call, now)
 
     def next_check(self, event: Event, now: float) -> NextCheck:
         """Return when to decide a deferred event again."""
-        return NextCheck(max(now, event.check_at), event.waits_for_outcome)
+        return NextCheck(max(now, event.next_check_at), event.waits_for_outcome)
 
     def send_deadline(self, event: Event, endpoint: Endpoint, now: float) -> float:
         """Return the time by which the last byte of a request must be sent; -inf if it must not be started.
@@ -294,7 +294,7 @@
         now: float,
         latency_ms: float,
         retry_after_ms: float = 0.0,
-        is_finished: bool = False,
+        is_event_finished: bool = False,
         load_report: LoadReport | None = None,
     ) -> Defer | Reject | Abandon | None:
         """Record the outcome of an attempt, and return what it means for the event.
@@ -305,7 +305,7 @@
             now: The current time.
             latency_ms: The time from the start of the attempt to its outcome.
             retry_after_ms: The Retry-After that the endpoint's response named; 0 if it named none.
-            is_finished: Whether the event is finished with this outcome.
+            is_event_finished: Whether the event is finished with this outcome.
             load_report: The load report of the endpoint's response; None if it had none.
 
         Returns:
@@ -329,10 +329,10 @@
             self.health.record_call(endpoint, outcome, now, latency_ms, load_report)
         if outcome in MAY_HAVE_RUN:
             self._record_possible_run(event, outcome, now)
-        if is_finished or event.is_finished:
+        if is_event_finished or event.is_finished:
             self._release(event)
             return None
-        event.check_at = now
+        event.next_check_at = now
         event.waits_for_outcome = False
         return self._give_up(event, now) if self.retry_rules.is_exhausted(event, now) else Defer()
 
@@ -355,7 +355,7 @@
     ) -> None:
         """Record the outcome of a health check; its latency and load report are not used."""
         if endpoint := self.endpoints.get(endpoint_id):
-            self.health_checks.record(endpoint, outcome)
+            self.health_checks.record_outcome(endpoint, outcome)
 
     def endpoints_to_disconnect(self, now: float) -> list[Endpoint]:
         """Return the endpoints whose idle connections to close now."""
@@ -379,8 +379,8 @@
         )
 
     @staticmethod
-    def _defer(event: Event, check_at: float, waits_for_outcome: bool) -> Defer:
-        event.check_at = check_at
+    def _defer(event: Event, next_check_at: float, waits_for_outcome: bool) -> Defer:
+        event.next_check_at = next_check_at
         event.waits_for_outcome = waits_for_outcome
         return Defer()
 
--- a/swiftthread/routing/selection.py
+++ b/swiftthread/routing/selection.py
@@ -10,7 +10,7 @@
 from swiftthread.routing.events import Event
 from swiftthread.routing.health_checks import HealthChecks
 from swiftthread.routing.rate_limiter import ASSUMED_RATE_PER_MS
-from swiftthread.routing.recovery import RecoveryRamp
+from swiftthread.routing.recovery import RecoveryPacing
 from swiftthread.routing.retry_rules import is_bound_to_group, may_be_sent_to
 from swiftthread.routing.timeouts import AttemptTimeouts
 from swiftthread.routing.urgency import UrgencyRanking
@@ -54,7 +54,7 @@
     def __init__(
         self,
         slots: CallSlots,
-        recovery: RecoveryRamp,
+        recovery: RecoveryPacing,
         health_checks: HealthChecks,
         timeouts: AttemptTimeouts,
         urgency: UrgencyRanking,
@@ -117,7 +117,7 @@
         recovery_slot_at = (
             limiter.next_recovery_slot_at if self.recovery.is_warming_up(endpoint, now) else now
         )
-        return max(limiter.ready_at(), endpoint.retry_at, recovery_slot_at)
+        return max(limiter.ready_at(), endpoint.blocked_until, recovery_slot_at)
 
     @staticmethod
     def _is_unresponsive(endpoint: Endpoint, now: float) -> bool:
--- a/swiftthread/routing/settings.py
+++ b/swiftthread/routing/settings.py
@@ -83,7 +83,7 @@
     max_retry_after_ms: float = 0.0
     polls_discovery: bool = False
     """Whether endpoint lists are polled from a shared discovery, instead of pushed by a local agent."""
-    poll_within_ms: float = 0.0
+    max_list_request_pause_ms: float = 0.0
     """The longest pause before a failed request for the endpoint list is repeated, if discovery is polled."""
     overload_multiple: float = 1.0
     """The calls that a down or warming destination withstands, as a multiple of its capacity at that time."""
--- a/swiftthread/routing/timeouts.py
+++ b/swiftthread/routing/timeouts.py
@@ -4,7 +4,7 @@
 
 from swiftthread.routing.endpoint import Endpoint
 from swiftthread.routing.events import Event
-from swiftthread.routing.recovery import RecoveryRamp
+from swiftthread.routing.recovery import RecoveryPacing
 from swiftthread.routing.retry_rules import final_outcome_margin_ms
 from swiftthread.routing.settings import Effect, Settings
 
@@ -26,7 +26,7 @@
 class AttemptTimeouts:
     """Sets timeouts of attempts by the latency of the endpoint and the time that the event has left."""
 
-    def __init__(self, settings: Settings, recovery: RecoveryRamp) -> None:
+    def __init__(self, settings: Settings, recovery: RecoveryPacing) -> None:
         self.final_outcome_margin_ms = final_outcome_margin_ms(settings)
         self.recovery = recovery
 
--- a/swiftthread/service/activity.py
+++ b/swiftthread/service/activity.py
@@ -48,7 +48,7 @@
     def endpoint_down(self, change: EndpointDown) -> None:
         """Log that an endpoint was marked down."""
         self.down_count += 1
-        unacked = f"no call acked for {change.unacked_ms / 1000.0:.1f} s"
+        unacked = f"no call acked for {change.time_since_ack_ms / 1000.0:.1f} s"
         logger.bind(**STATE_CHANGE).info(
             "endpoint {} of destination {} was marked down after {} consecutive failures "
             "(last outcome: {}), {}; next trial in {:.1f} s",
@@ -56,8 +56,8 @@
             change.destination_number,
             change.consecutive_failures,
             change.last_outcome or "none, other endpoints of the destination failed",
-            unacked if change.unacked_ms < math.inf else "no call acked yet",
-            change.next_trial_ms / 1000.0,
+            unacked if change.time_since_ack_ms < math.inf else "no call acked yet",
+            change.time_to_next_trial_ms / 1000.0,
         )
 
     def endpoint_recovering(self, change: EndpointRecovering) -> None:
@@ -68,7 +68,7 @@
             change.endpoint_id,
             change.destination_number,
             change.warm_up_elapsed_ms / 1000.0,
-            change.next_call_ms / 1000.0,
+            change.time_to_next_call_ms / 1000.0,
         )
 
     async def report(self) -> None:
--- a/swiftthread/service/composition.py
+++ b/swiftthread/service/composition.py
@@ -100,8 +100,8 @@
         return DiscoveryClient(
             address=self._config.discovery,
             buffers=self._buffers,
-            kind_numbers=self._config.names.kind_numbers,
-            zone_numbers=self._config.names.zone_numbers,
+            kind_numbers=self._config.setting_numbers.kind_numbers,
+            zone_numbers=self._config.setting_numbers.zone_numbers,
             idle_timeout_ms=WATCH_IDLE_TIMEOUT_MS,
             connect_timeout_ms=PLATFORM_RESPONSE_TIMEOUT_MS,
         )
@@ -137,8 +137,8 @@
             endpoint_client=endpoint_client,
             notifier=notifier,
             activity=self._activity,
-            stream_type_numbers=self._config.names.stream_type_numbers,
-            tenant_numbers=self._config.names.tenant_numbers,
+            stream_type_numbers=self._config.setting_numbers.stream_type_numbers,
+            tenant_numbers=self._config.setting_numbers.tenant_numbers,
             clock=monotonic_ms,
             log_clock=self._log_clock,
             tasks=self._tasks,
@@ -151,7 +151,7 @@
             log=self._log,
             delivery=delivery,
             activity=self._activity,
-            stream_type_numbers=self._config.names.stream_type_numbers,
+            stream_type_numbers=self._config.setting_numbers.stream_type_numbers,
             max_pending_bytes=self._limits.max_pending_bytes,
             clock=monotonic_ms,
             log_clock=self._log_clock,
@@ -160,7 +160,7 @@
     def _build_server(self, submissions: SubmissionHandler) -> HttpServer:
         return HttpServer(
             admit=submissions.admit,
-            stream_types=self._config.names.stream_type_numbers,
+            stream_types=self._config.setting_numbers.stream_type_numbers,
             buffers=self._buffers,
             limits=self._limits,
             log_clock=self._log_clock,
--- a/swiftthread/service/delivery.py
+++ b/swiftthread/service/delivery.py
@@ -83,7 +83,7 @@
             self._tenant_numbers.get(pending.tenant),
             pending.ordering_key,
         )
-        pending.event = event
+        pending.router_event = event
         event.attempts = pending.attempts
         if pending.possible_execution is not None:
             sent_at, group = pending.possible_execution
@@ -166,7 +166,7 @@
             now,
             result.latency_ms,
             result.retry_after_ms,
-            result.is_finished,
+            result.is_event_finished,
             result.load_report,
         )
         self._scheduler.wake(event.destination)
@@ -174,7 +174,7 @@
         # as in flight and that may have run.
         if is_logged and result.outcome in NEVER_RAN:
             self._log.append_never_ran(pending)
-        return None if result.is_finished else decision
+        return None if result.is_event_finished else decision
 
     @staticmethod
     async def _skip_unlogged_send() -> SendResult:
--- a/swiftthread/service/node.py
+++ b/swiftthread/service/node.py
@@ -91,6 +91,6 @@
         while True:
             if not await self.discovery.watch(self._apply_endpoint_list):
                 continue
-            retry_at = self.router.list_request_failed(self.clock())
-            while not self.router.should_request_list(now := self.clock()):
+            retry_at = self.router.record_list_request_failure(self.clock())
+            while not self.router.start_due_list_request(now := self.clock()):
                 await anyio.sleep((retry_at - now) / 1000.0)
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -137,7 +137,7 @@
             if may_send_at < math.inf:
                 self.event_timers.start_pause(event, may_send_at)
             return
-        key = (event.destination, *self.router.queue_class(event))
+        key = (event.destination, *self.router.queue_key(event))
         group = self.groups.get(key)
         if group is None:
             group = self.groups[key] = QueueGroup(key, event.destination, self.router, now)
@@ -177,7 +177,7 @@
 
     def _enqueue_next_in_order(self, now: float) -> None:
         for ordering_key in self._unblocked_ordering_keys:
-            event = self.router.next_in_order(ordering_key)
+            event = self.router.first_pending_of_key(ordering_key)
             if event in self.group_of and self.group_of[event] is None:
                 self._enqueue(event, now)
         self._unblocked_ordering_keys.clear()
--- a/swiftthread/simulator/session_host.py
+++ b/swiftthread/simulator/session_host.py
@@ -103,7 +103,7 @@
     def _apply_list(self, message: EndpointList, frame: Frame, _reply: ReplyWriter) -> Session:
         session = self._find_session(message.instance)
         if message.form == ListForm.REQUEST_FAILED:
-            session.router.list_request_failed(frame.now_ms)
+            session.router.record_list_request_failure(frame.now_ms)
         elif message.form not in LIST_FORMS:
             raise ProtocolError(f"unknown list form {message.form}")
         elif message.list_number not in self.endpoint_lists:
--- a/swiftthread/simulator/sessions.py
+++ b/swiftthread/simulator/sessions.py
@@ -150,7 +150,7 @@
             commands.check_health(self.number, endpoint.endpoint_id)
         for endpoint in self.router.endpoints_to_disconnect(now):
             commands.close_idle(self.number, endpoint.endpoint_id)
-        if self.router.should_request_list(now):
+        if self.router.start_due_list_request(now):
             commands.watch_endpoint_list(self.number)
         self._schedule_wakeup(now, commands)
 
--- a/swiftthread/storage/pending_event.py
+++ b/swiftthread/storage/pending_event.py
@@ -44,7 +44,7 @@
         possible_execution: The earliest send before the one in flight that may have executed the event; None
             if there is none. After a restart the send in flight counts too.
         decision: The final outcome, once it is decided that the event will not be delivered.
-        event: The event of the router that stands for this one; set by the node, not stored.
+        router_event: The event of the router that stands for this one; set by the node, not stored.
         reserved_bytes: Upper bound of the bytes that its records need in the log.
         file_offset: Where its accepted record begins in the log file.
         decision_is_logged: Whether the decision is in the log, so that a restart restores it.
@@ -62,7 +62,7 @@
     send_in_flight: PossibleExecution | None = field(init=False, default=None)
     possible_execution: PossibleExecution | None = field(init=False, default=None)
     decision: Decision | None = field(init=False, default=None)
-    event: Any = field(init=False, default=None)
+    router_event: Any = field(init=False, default=None)
     reserved_bytes: int = field(init=False, default=0)
     file_offset: int = field(init=False, default=0)
     decision_is_logged: bool = field(init=False, default=False)
--- a/tests/client/test_discovery_watch.py
+++ b/tests/client/test_discovery_watch.py
@@ -76,6 +76,6 @@
     router = SimulatedNode([]).session.router
     pauses_ms = []
     for _ in range(500):
-        router.list_request_failed(0.0)
+        router.record_list_request_failure(0.0)
         pauses_ms.append(router.list_polling.next_request_at)
     assert limits.WATCH_IDLE_TIMEOUT_MS > 4000.0 and limits.WATCH_IDLE_TIMEOUT_MS + max(pauses_ms) < 5200.0
--- a/tests/client/test_endpoint_response.py
+++ b/tests/client/test_endpoint_response.py
@@ -55,7 +55,7 @@
 def test_the_status_of_a_call_with_one_event_determines_the_outcome(status, headers, outcome):
     (result,) = results_of(response_of(status, headers))
     assert (result.outcome, result.latency_ms) == (outcome, 5.0)
-    assert result.is_finished == (status in (200, 410))
+    assert result.is_event_finished == (status in (200, 410))
 
 
 @pytest.mark.parametrize(
@@ -74,24 +74,24 @@
 
 def test_a_first_line_with_200_acks_a_single_event_even_if_the_rest_is_missing():
     (result,) = results_of(response_of(200, is_complete=False), outcome=SendOutcome.RESET)
-    assert result.outcome == SendOutcome.ACKED and result.is_finished
+    assert result.outcome == SendOutcome.ACKED and result.is_event_finished
 
 
 def test_an_event_may_have_run_if_bytes_follow_the_response():
     (result,) = results_of(response_of(410, has_trailing_bytes=True))
-    assert result.outcome == SendOutcome.RESET and not result.is_finished
+    assert result.outcome == SendOutcome.RESET and not result.is_event_finished
 
 
 def test_an_incomplete_response_does_not_change_the_outcome_of_the_call():
     (result,) = results_of(response_of(500, is_complete=False), outcome=SendOutcome.UNREACHABLE)
-    assert result.outcome == SendOutcome.UNREACHABLE and not result.is_finished
+    assert result.outcome == SendOutcome.UNREACHABLE and not result.is_event_finished
 
 
 def test_an_ack_after_the_expiry_counts_as_a_time_out():
     (on_time,) = results_of(response_of(200), received_at=EXPIRES_AT)
     (late,) = results_of(response_of(200), received_at=EXPIRES_AT + 1.0)
     assert on_time.outcome == SendOutcome.ACKED
-    assert late.outcome == SendOutcome.TIMED_OUT and not late.is_finished
+    assert late.outcome == SendOutcome.TIMED_OUT and not late.is_event_finished
 
 
 def test_each_event_of_a_batch_has_the_outcome_of_its_state_in_the_response():
@@ -107,7 +107,7 @@
         SendOutcome.RESET,  # its state is unknown
         SendOutcome.RESET,  # the response leaves it out
     ]
-    assert [result.is_finished for result in results] == [True, False, False, True, False, False, False]
+    assert [result.is_event_finished for result in results] == [True, False, False, True, False, False, False]
 
 
 def test_an_incomplete_batch_response_acks_no_event():
@@ -122,7 +122,7 @@
     response = response_of(200, body=json.dumps(entries).encode(), is_complete=False)
     results = results_of(response, event_count=3, outcome=SendOutcome.RESET)
     assert [result.outcome for result in results] == [SendOutcome.RESET] * 3
-    assert not any(result.is_finished for result in results)
+    assert not any(result.is_event_finished for result in results)
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"7", b'[{"id": "evt-0"}]', b'[{"id": "evt-0", "state": []}]'])
--- a/tests/configuration/test_node_config.py
+++ b/tests/configuration/test_node_config.py
@@ -46,8 +46,13 @@
     assert config.limits == {"sockets": 96} and config.initial_list == {"servers": []}
     assert config.settings.stream_types[0].effect == Effect.IDEMPOTENT
     assert config.settings.max_pending_events == math.inf  # the document leaves it out
-    assert config.names.stream_type_numbers == {"notice": 0} and config.names.tenant_numbers == {"retail": 0}
-    assert config.names.kind_numbers == {"plain": 0, "batch": 1} and config.names.zone_numbers == {"east": 0}
+    assert config.setting_numbers.stream_type_numbers == {
+        "notice": 0
+    } and config.setting_numbers.tenant_numbers == {"retail": 0}
+    assert config.setting_numbers.kind_numbers == {
+        "plain": 0,
+        "batch": 1,
+    } and config.setting_numbers.zone_numbers == {"east": 0}
     assert config.report_fields == ["x0", "x1"] and config.settings_warnings == []
     assert config.start_only_values["listen"] == "127.0.0.1:9000"
 
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -143,7 +143,7 @@
     with running_emulator(tmp_path, "what = 'reset_before'\non = 'dest:1'") as emulator:
         wait_until(lambda: call(emulator.address_by_endpoint["d1-0"], timeout=0.4) == "ConnectionResetError")
         completed_calls = sum(
-            isinstance(record, run_records.ReplySent) and record.outcome == "done"
+            isinstance(record, run_records.ResponseSent) and record.outcome == "done"
             for record in emulator.stop()
         )
         assert completed_calls <= 1  # One call may arrive before the step is applied.
--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -44,13 +44,13 @@
 )
 def test_difference_is_significant_only_if_its_interval_excludes_zero(after, message):
     lines = list(
-        experiment.comparison(results_of("x", [0.55, 0.56, 0.57, 0.58, 0.59, 0.54], after), "a", "b")
+        experiment.comparison_lines(results_of("x", [0.55, 0.56, 0.57, 0.58, 0.59, 0.54], after), "a", "b")
     )
     assert f"over 6 pairs: {message}" in lines[0]
 
 
 def test_comparison_gives_no_interval_for_few_pairs_and_leaves_void_runs_out():
     results = results_of("x", [0.5, 0.5, 0.5], [0.9, 0.9, 0.9])
-    assert "too few" in next(experiment.comparison(results, "a", "b"))
+    assert "too few" in next(experiment.comparison_lines(results, "a", "b"))
     results[0].void = "lag"
-    assert "over 2 pairs" in next(experiment.comparison(results, "a", "b"))
+    assert "over 2 pairs" in next(experiment.comparison_lines(results, "a", "b"))
--- a/tests/lab/test_referee.py
+++ b/tests/lab/test_referee.py
@@ -6,14 +6,14 @@
 from swiftthread.lab.run_records import (
     CallerDisconnected,
     CallReceived,
-    ClientAnswered,
+    ClientResponded,
     DestinationChanged,
     EndpointStateAnnounced,
     EventSubmitted,
     HealthCheckReceived,
     NodeLifecycleChanged,
     NotificationReceived,
-    ReplySent,
+    ResponseSent,
 )
 
 INCIDENT = incident_file.parse(
@@ -69,7 +69,7 @@
                 at,
             )
         )
-        self.records.append(ClientAnswered(at + 2.0, event_id, status))
+        self.records.append(ClientResponded(at + 2.0, event_id, status))
         return self
 
     def attempt(
@@ -86,7 +86,9 @@
         self.call_count += 1
         self.records.append(CallReceived(at, self.call_count, [event_id], endpoint, 1, zone, at))
         if outcome:
-            self.records.append(ReplySent(at + response_after_ms, self.call_count, outcome, retry_after_ms))
+            self.records.append(
+                ResponseSent(at + response_after_ms, self.call_count, outcome, retry_after_ms)
+            )
         elif disconnected_at:
             self.records.append(CallerDisconnected(disconnected_at, self.call_count))
         return self
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -8,11 +8,11 @@
 from swiftthread.lab.report import write_matrix, write_report
 from swiftthread.lab.run_records import (
     CallReceived,
-    ClientAnswered,
+    ClientResponded,
     EventSubmitted,
     ProcessSampled,
     RecordWriter,
-    ReplySent,
+    ResponseSent,
 )
 from swiftthread.lab.runner import INCIDENT_FILE, ReportedBreach, RunResult
 from swiftthread.lab.runner.result import SubmissionLatency
@@ -61,9 +61,9 @@
     result.write(tmp_path)
     writer = RecordWriter(tmp_path / "run.rows")
     writer.write(EventSubmitted(1000.0, "e1", "e1", "n0", "status", 1, "", "", 6000.0, 1000.0))
-    writer.write(ClientAnswered(1002.0, "e1", 202))
+    writer.write(ClientResponded(1002.0, "e1", 202))
     writer.write(CallReceived(1010.0, 1, ["e1"], "d1-0", 1, "east", 1009.0))
-    writer.write(ReplySent(1020.0, 1, "done"))
+    writer.write(ResponseSent(1020.0, 1, "done"))
     for number in range(6):
         writer.write(ProcessSampled(1000.0 + 250.0 * number, "n0", 10.0 * number, 40.0, 12))
     writer.close()
--- a/tests/lab/test_run_records.py
+++ b/tests/lab/test_run_records.py
@@ -10,7 +10,7 @@
     DestinationChanged,
     EndpointStateAnnounced,
     RecordWriter,
-    ReplySent,
+    ResponseSent,
     read_records,
 )
 
@@ -30,12 +30,12 @@
         (CallOutcome.UNAVAILABLE, "shut"),
         (CallOutcome.RESET, "reset"),
         (CallOutcome.TRUNCATED, "half"),
-        (CallOutcome.NO_REPLY, "nothing"),
+        (CallOutcome.NO_RESPONSE, "nothing"),
     ],
 )
 def test_call_outcome_is_stored_as_its_value(tmp_path, outcome, stored_value):
     path = tmp_path / "records"
-    write_records(path, ReplySent(1.5, 7, outcome, 20.0))
+    write_records(path, ResponseSent(1.5, 7, outcome, 20.0))
     assert json.loads(path.read_bytes()) == {
         "row": "reply_sent",
         "at": 1.5,
@@ -43,7 +43,7 @@
         "outcome": stored_value,
         "retry_after_ms": 20.0,
     }
-    assert read_records(path) == [ReplySent(1.5, 7, outcome, 20.0)]
+    assert read_records(path) == [ResponseSent(1.5, 7, outcome, 20.0)]
 
 
 @pytest.mark.parametrize(
@@ -66,8 +66,8 @@
 
 def test_records_of_several_files_are_read_in_order_of_time_without_a_truncated_line(tmp_path):
     first, second = tmp_path / "first", tmp_path / "second"
-    late = ReplySent(9.0, 1, CallOutcome.DONE)
-    early = ReplySent(2.0, 2, CallOutcome.ERROR)
+    late = ResponseSent(9.0, 1, CallOutcome.DONE)
+    early = ResponseSent(2.0, 2, CallOutcome.ERROR)
     write_records(first, late)
     write_records(second, early)
     with open(second, "ab") as file:
--- a/tests/lab/wrong_node.py
+++ b/tests/lab/wrong_node.py
@@ -30,8 +30,8 @@
     """Notifies the platform of two different outcomes of each event."""
 
     async def deliver(self, event):
-        await self.notify(event, EventOutcome.HANDED_BACK)
-        return EventOutcome.GIVEN_UP
+        await self.notify(event, EventOutcome.REJECTED)
+        return EventOutcome.ABANDONED
 
 
 class SendsExpired(Correct):
@@ -69,7 +69,7 @@
             return None
         await asyncio.sleep(event.stream.window_ms / 1000.0 + 0.2)
         await self.send(event)
-        return EventOutcome.GIVEN_UP
+        return EventOutcome.ABANDONED
 
 
 class RetriesInOtherZone(Correct):
@@ -80,7 +80,7 @@
             reply = await self.call(event, endpoint)
             if reply.status == 200:
                 return None
-        return EventOutcome.GIVEN_UP
+        return EventOutcome.ABANDONED
 
 
 class SendsConcurrently(Correct):
@@ -107,7 +107,7 @@
             if result.is_acked():
                 return None
             await asyncio.sleep(0.01)
-        return EventOutcome.HANDED_BACK
+        return EventOutcome.REJECTED
 
 
 class SendsOutOfOrder(Correct):
--- a/tests/routing/test_connection_tables.py
+++ b/tests/routing/test_connection_tables.py
@@ -36,7 +36,7 @@
             if acks_between:
                 acked = router.add_event(time_ms - 700.0, 0, 0, 10000.0)
                 router.decide(acked, time_ms - 700.0)
-                router.record_outcome(acked, SendOutcome.ACKED, time_ms - 650.0, 50.0, is_finished=True)
+                router.record_outcome(acked, SendOutcome.ACKED, time_ms - 650.0, 50.0, is_event_finished=True)
             router.decide(event, time_ms)
             router.record_outcome(event, outcome, time_ms + 30.0, 30.0)
         return limiter.rate / rate, router.endpoints["a"].is_down
@@ -60,7 +60,7 @@
     first, second = [node.add_event(0.0, 0, 0, 10000.0) for _ in range(2)]
     for event, time_ms, closed in ((first, 0.0, []), (second, 1100.0, ["a"])):
         node.decide(event, time_ms)
-        node.record_outcome(event, SendOutcome.ACKED, time_ms + 50.0, 50.0, is_finished=True)
+        node.record_outcome(event, SendOutcome.ACKED, time_ms + 50.0, 50.0, is_event_finished=True)
         assert [endpoint.endpoint_id for endpoint in node.endpoints_to_disconnect(time_ms + 50.0)] == closed
 
 
--- a/tests/routing/test_list_polling.py
+++ b/tests/routing/test_list_polling.py
@@ -39,7 +39,10 @@
     nodes = [
         Router(
             Settings(
-                stream_types=[IDEMPOTENT], node_count=NODES, polls_discovery=True, poll_within_ms=10000.0
+                stream_types=[IDEMPOTENT],
+                node_count=NODES,
+                polls_discovery=True,
+                max_list_request_pause_ms=10000.0,
             ),
             seed + index,
         )
@@ -51,14 +54,15 @@
         now, _, index = heapq.heappop(requests)
         if now >= END_MS:
             continue
-        assert nodes[index].should_request_list(now) and not nodes[index].should_request_list(now)
+        assert nodes[index].start_due_list_request(now) and not nodes[index].start_due_list_request(now)
         responded_at, has_list = discovery.request_list(now)
         if has_list:
             nodes[index].apply_endpoint_list([], True, responded_at)
             received_at[index] = responded_at
         else:
             heapq.heappush(
-                requests, (nodes[index].list_request_failed(responded_at), next(request_number), index)
+                requests,
+                (nodes[index].record_list_request_failure(responded_at), next(request_number), index),
             )
     return sorted(received_at)
 
@@ -75,15 +79,15 @@
 
 
 def test_backoff_doubles_up_to_the_polling_bound_and_is_reset_by_a_list():
-    node = Router(Settings(polls_discovery=True, poll_within_ms=10000.0), 1)
-    pauses = [node.list_request_failed(0.0) for _ in range(8)]
+    node = Router(Settings(polls_discovery=True, max_list_request_pause_ms=10000.0), 1)
+    pauses = [node.record_list_request_failure(0.0) for _ in range(8)]
     for pause, mean in zip(pauses, (1000.0, 2000.0, 4000.0, *[20000.0 / 3] * 5), strict=True):
         assert 0.5 * mean <= pause <= 1.5 * mean
     node.apply_endpoint_list([], False, 0.0)
-    assert node.list_request_failed(0.0) <= 1500.0
+    assert node.record_list_request_failure(0.0) <= 1500.0
 
 
 def test_backoff_to_a_local_agent_that_pushes_the_list_does_not_grow_with_failures():
-    node = Router(Settings(poll_within_ms=10000.0), 1)
-    pauses = [node.list_request_failed(0.0) for _ in range(50)]
+    node = Router(Settings(max_list_request_pause_ms=10000.0), 1)
+    pauses = [node.record_list_request_failure(0.0) for _ in range(50)]
     assert max(pauses) <= 300.0 and max(pauses) - min(pauses) > 100.0
--- a/tests/service/test_pending_queues.py
+++ b/tests/service/test_pending_queues.py
@@ -85,7 +85,7 @@
         now += 5.0
         while in_flight and in_flight[0][0] <= now:
             _, event = in_flight.pop(0)
-            router.record_outcome(event, SendOutcome.ACKED, now, latency, is_finished=True)
+            router.record_outcome(event, SendOutcome.ACKED, now, latency, is_event_finished=True)
             queues.wake(event.destination)
             queues.remove(event)
         for event, decision in queues.run_cycle(now):
@@ -158,7 +158,7 @@
     for now in range(0, 200, 5):
         for event, _ in queues.run_cycle(float(now)):
             sent_indexes.append(events.index(event))
-            router.record_outcome(event, SendOutcome.ACKED, now + 1.0, 1.0, is_finished=True)
+            router.record_outcome(event, SendOutcome.ACKED, now + 1.0, 1.0, is_event_finished=True)
             queues.wake(event.destination)
             queues.remove(event)
     assert sent_indexes == [0, 1, 2, 3, 4]
@@ -251,7 +251,7 @@
                 now,
                 20.0,
                 retry_after_ms=300.0 if has_retry_after else 0.0,
-                is_finished=outcome == SendOutcome.ACKED,
+                is_event_finished=outcome == SendOutcome.ACKED,
             )
             self.queues.wake(event.destination)
             if isinstance(decision, Defer):
@@ -327,7 +327,7 @@
         now += 2.0
         queues.add(router.add_event(now, number % 3, number % 3, 10.0**6), now)
         for event in in_flight:
-            router.record_outcome(event, SendOutcome.ACKED, now, 2.0, is_finished=True)
+            router.record_outcome(event, SendOutcome.ACKED, now, 2.0, is_event_finished=True)
             queues.wake(event.destination)
             queues.remove(event)
         in_flight = [event for event, decision in queues.run_cycle(now) if isinstance(decision, Send)]
