--- a/swiftthread/routing/admission.py
+++ b/swiftthread/routing/admission.py
@@ -92,12 +92,10 @@
 
 
 def queue_drain_time_ms(destination: Destination, now: float) -> float:
-    """Return the time in ms in which all pending events of a destination can be sent at current rates.
-
-    It is inf for a destination without endpoints.
-    """
+    """Return the time in ms in which all pending events of a destination can be sent at current rates."""
     endpoints = [endpoint for endpoint in destination.endpoints if not endpoint.is_down]
     limiters = dict.fromkeys(endpoint.rate_limiter for endpoint in endpoints or destination.endpoints)
+    # The time is inf for a destination without endpoints.
     if not limiters:
         return math.inf
     rate = sum(limiter.rate or math.inf for limiter in limiters)
--- a/swiftthread/routing/call_slots.py
+++ b/swiftthread/routing/call_slots.py
@@ -25,11 +25,9 @@
         return self.in_flight >= SCARCE_SLOTS_SHARE * self.max_calls
 
     def are_unavailable_to(self, destination: Destination) -> bool:
-        """Return whether a destination gets no slot until some call ends.
-
-        Prevents a destination whose calls hang from taking the slots of all others before its endpoints count
-        as unresponsive.
-        """
+        """Return whether a destination gets no slot until some call ends."""
+        # This prevents a destination whose calls hang from taking the slots of all others before its
+        # endpoints count as unresponsive.
         if self.are_all_in_use():
             return True
         if not self.are_scarce():
--- a/swiftthread/routing/endpoint_list.py
+++ b/swiftthread/routing/endpoint_list.py
@@ -73,7 +73,7 @@
         return forgotten
 
     def _apply_entry(self, entry: EndpointEntry, forgotten: list[Endpoint]) -> Endpoint | None:
-        """Add or update the endpoint of an entry; return None for one that is unknown and not ready."""
+        # Add or update the endpoint of an entry; return None for one that is unknown and not ready.
         destination = self.get_or_add_destination(entry.destination_number)
         has_separate_route = self._has_separate_route(entry.kind)
         retry_after_until = -math.inf
@@ -143,10 +143,10 @@
                 forgotten.append(endpoint)
 
     def _may_forget(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether the state of a draining or removed endpoint may be deleted.
-
-        An outage or a Retry-After must still be known if the endpoint is listed again under its id meanwhile.
-        """
+        # Return whether the state of a draining or removed endpoint may be deleted.
+        #
+        # An outage or a Retry-After must still be known if the endpoint is listed again under its id
+        # meanwhile.
         retained_until = max(
             endpoint.last_outcome_at + RETENTION_WARM_UPS * self.recovery.warm_up_ms,
             endpoint.rate_limiter.retry_after_until,
@@ -157,7 +157,7 @@
 
     @staticmethod
     def _drain(endpoint: Endpoint) -> None:
-        """Stop choosing an endpoint for attempts: mark it not ready and remove it from its destination."""
+        # Stop choosing an endpoint for attempts: mark it not ready and remove it from its destination.
         endpoint.is_ready = False
         if endpoint in endpoint.destination.endpoints:
             endpoint.destination.endpoints.remove(endpoint)
--- a/swiftthread/routing/health.py
+++ b/swiftthread/routing/health.py
@@ -1,7 +1,5 @@
-"""Endpoint health from call outcomes: failures, outages of a destination, ejection by stream type.
-
-Times and durations are in milliseconds.
-"""
+"""Endpoint health from call outcomes: failures, outages of a destination, ejection by stream type."""
+# Times and durations are in milliseconds.
 
 from __future__ import annotations
 
@@ -119,12 +117,12 @@
             self._record_error(endpoint, outcome, now, latency_ms)
 
     def _record_rejected_connection(self, endpoint: Endpoint, now: float) -> None:
-        """Record that the endpoint rejected a connection because it has reached its connection limit.
-
-        This does not mean that the rate limit is exceeded, nor that the endpoint is unhealthy while it acks
-        other calls. The cost arises where the connection limit stays reached for seconds under ordinary load:
-        all calls to the endpoint pause, and it is marked down if its destination acks nothing meanwhile.
-        """
+        # Record that the endpoint rejected a connection because it has reached its connection limit.
+        #
+        # This does not mean that the rate limit is exceeded, nor that the endpoint is unhealthy while it acks
+        # other calls. The cost arises where the connection limit stays reached for seconds under ordinary
+        # load: all calls to the endpoint pause, and it is marked down if its destination acks nothing
+        # meanwhile.
         endpoint.connection_limit_reached_at = now
         endpoint.blocked_until = now + MIN_TRIAL_PAUSE_MS * self.jitter.uniform(
             *REJECTED_CONNECTION_PAUSE_FACTORS
@@ -143,7 +141,7 @@
             self._mark_down(endpoint, SendOutcome.CONNECTION_LIMIT, now)
 
     def _has_rejected_connections_without_acks(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether consecutive connections were rejected while the destination acked nothing."""
+        # Return whether consecutive connections were rejected while the destination acked nothing.
         has_consecutive_rejections = endpoint.consecutive_rejected_connections >= OUTAGE_UNACKED_FAILURES
         return has_consecutive_rejections and self._destination_lacks_recent_ack(endpoint, now)
 
@@ -216,7 +214,8 @@
             endpoint.rate_limiter.reduce_rate(now, was_rejected=False)
 
     def _has_consecutive_failures(self, endpoint: Endpoint, outcome: SendOutcome, now: float) -> bool:
-        """Return whether there are too many consecutive failures or rejections to be chance."""
+        # Return whether there are too many consecutive failures or rejections to be chance.
+        #
         # Most nodes see an outage in one or two of their calls only. When the destination recovers, the calls
         # of all nodes add up: nodes that go on at their normal rate overload it, however much the others slow
         # down.
@@ -233,11 +232,10 @@
         )
 
     def _indicates_outage(self, endpoint: Endpoint, outcome: SendOutcome, latency_ms: float) -> bool:
-        """Return whether a single failure is of a kind that an outage causes.
-
-        A node with little traffic may see only one call fail during a whole outage, and its calls add to the
-        load on the recovering destination all the same.
-        """
+        # Return whether a single failure is of a kind that an outage causes.
+        #
+        # A node with little traffic may see only one call fail during a whole outage, and its calls add to
+        # the load on the recovering destination all the same.
         if outcome == SendOutcome.TIMED_OUT:
             return True
         if outcome == SendOutcome.UNREACHABLE and latency_ms >= self.prompt_connect_ms:
@@ -255,10 +253,9 @@
         return self._destination_unacked_ms(endpoint, now) > OUTAGE_UNACKED_MS
 
     def _destination_unacked_ms(self, endpoint: Endpoint, now: float) -> float:
-        """Return the time since the destination of an endpoint last acked a call.
-
-        A later due end of the warm-up of one of its endpoints counts like an ack at that time.
-        """
+        # Return the time since the destination of an endpoint last acked a call.
+        #
+        # A later due end of the warm-up of one of its endpoints counts like an ack at that time.
         return min(
             now - max(other.acked_at, self.recovery.warm_up_ends_at(other))
             for other in [endpoint, *endpoint.destination.endpoints]
@@ -266,18 +263,17 @@
 
     @staticmethod
     def _is_limiter_failing(limiter: RateLimiter) -> bool:
-        """Return whether consecutive calls failed, counted over all endpoints of the limiter."""
+        # Return whether consecutive calls failed, counted over all endpoints of the limiter.
         return limiter.consecutive_failures >= OUTAGE_CONSECUTIVE_FAILURES
 
     def _mark_down(self, endpoint: Endpoint, outcome: SendOutcome, now: float) -> None:
-        """Mark an endpoint down, and possibly the endpoints that share its limiter.
-
-        Protects against an outage of the whole destination of which this node sees little: endpoints that
-        share the limiter and have not acked a call for half a warm-up are marked down too, and each of them
-        that has not failed itself gets one trial that waits for no recovery slot. If the destination rejects
-        all calls, all of them are marked down and get no such trial. The cost: endpoints that work are slowed
-        down where one endpoint alone is down.
-        """
+        # Mark an endpoint down, and possibly the endpoints that share its limiter.
+        #
+        # This protects against an outage of the whole destination of which this node sees little: endpoints
+        # that share the limiter and have not acked a call for half a warm-up are marked down too, and each of
+        # them that has not failed itself gets one trial that waits for no recovery slot. If the destination
+        # rejects all calls, all of them are marked down and get no such trial. The cost: endpoints that work
+        # are slowed down where one endpoint alone is down.
         if not self.endpoint_list.is_current(endpoint):
             return  # the call outlived the endpoint: its id is not listed now, or names another one
         siblings = [
@@ -314,7 +310,7 @@
         )
 
     def _begin_outage(self, endpoint: Endpoint, siblings: list[Endpoint], now: float) -> None:
-        """Record when the outage began and the ack rate before it, unless it continues an earlier outage."""
+        # Record when the outage began and the ack rate before it, unless it continues an earlier outage.
         affected = [endpoint, *siblings]
         if any(other.is_down or self.recovery.is_warming_up(other, now) for other in affected):
             return
@@ -332,7 +328,7 @@
         )
 
     def _is_latency_rise_widespread(self) -> bool:
-        """Return whether latency has risen at more than half of the limiters with a known latency."""
+        # Return whether latency has risen at more than half of the limiters with a known latency.
         known = [
             limiter for limiter in self.endpoint_list.rate_limiters() if limiter.lowest_latency_ms is not None
         ]
--- a/swiftthread/routing/idle_connections.py
+++ b/swiftthread/routing/idle_connections.py
@@ -28,12 +28,10 @@
         self.newly_idle[endpoint] = True
 
     def take_endpoints_to_disconnect(self, now: float) -> list[Endpoint]:
-        """Return the endpoints whose idle connections to close now, and clear the recorded ones.
-
-        Protects the connection limit of an endpoint that many nodes share: a connection that is idle far
-        longer than it is in use is one that other nodes cannot have. The cost is a new connection where the
-        next event comes sooner than the last one did.
-        """
+        """Return the endpoints whose idle connections to close now, and clear the recorded ones."""
+        # This protects the connection limit of an endpoint that many nodes share: a connection that is idle
+        # far longer than it is in use is one that other nodes cannot have. The cost is a new connection where
+        # the next event comes sooner than the last one did.
         candidates = self.newly_idle
         self.newly_idle = {}
         return [
@@ -47,11 +45,10 @@
         ]
 
     def _is_mostly_idle(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether a connection to the endpoint would be idle most of the time.
-
-        False while events are pending for the destination, which will use the connection, and false where no
-        keep-alive time is set, because connections may stay idle then.
-        """
+        # Return whether a connection to the endpoint would be idle most of the time.
+        #
+        # The result is false while events are pending for the destination, which will use the connection, and
+        # false where no keep-alive time is set, because connections may stay idle then.
         limiter = endpoint.rate_limiter
         use_ms = max(limiter.recent_latency_ms.value, MIN_CONNECTION_USE_MS)
         use_share = limiter.average_ack_rate.at(now) * use_ms
--- a/swiftthread/routing/list_polling.py
+++ b/swiftthread/routing/list_polling.py
@@ -37,12 +37,10 @@
         self.backoff_ms = self.initial_backoff_ms
 
     def record_failure(self, now: float) -> float:
-        """Record that a request failed, and return when to make the next one.
-
-        The backoff is exponential for a discovery service that all nodes share, because every request adds to
-        its load: if requests are repeated sooner than it can respond to all of them, it keeps rejecting them
-        or responding too late.
-        """
+        """Record that a request failed, and return when to make the next one."""
+        # The backoff is exponential for a discovery service that all nodes share, because every request adds
+        # to its load: if requests are repeated sooner than it can respond to all of them, it keeps rejecting
+        # them or responding too late.
         jitter_factor = self.jitter.uniform(1 - BACKOFF_SPREAD, 1 + BACKOFF_SPREAD)
         self.next_request_at = now + self.backoff_ms * jitter_factor
         self.backoff_ms = min(2 * self.backoff_ms, self.max_backoff_ms)
--- a/swiftthread/routing/rate_limiter.py
+++ b/swiftthread/routing/rate_limiter.py
@@ -1,7 +1,5 @@
-"""Pacing of calls to one destination or route by GCRA, and the rate learned from its responses.
-
-Rates are in calls per millisecond, times and durations in milliseconds.
-"""
+"""Pacing of calls to one destination or route by GCRA, and the rate learned from its responses."""
+# Rates are in calls per millisecond, times and durations in milliseconds.
 
 from __future__ import annotations
 
@@ -337,11 +335,10 @@
         self.next_slot_at = now + 1.0 / self.rate  # nothing was reserved while calls were not paced
 
     def _reduction_floor(self) -> float:
-        """Return the floor of the target rate; a reduction leaves the rate itself at no less than half of it.
-
-        This is the reliable part of the equal share, unless no rate is listed, or no call was acked since the
-        last reduction, which means that the listed rate is wrong.
-        """
+        # Return the floor of the target rate; a reduction leaves the rate itself at no less than half of it.
+        #
+        # This is the reliable part of the equal share, unless no rate is listed, or no call was acked since
+        # the last reduction, which means that the listed rate is wrong.
         if self.active_share and self.has_acked_since_reduction:
             return self.equal_share * self.listed_rate_confidence
         return MIN_UNSERVED_RATE_PER_MS
--- a/swiftthread/routing/recovery.py
+++ b/swiftthread/routing/recovery.py
@@ -50,16 +50,15 @@
             limiter.set_next_recovery_slot(max(now, limiter.next_recovery_slot_at) + pause_ms)
 
     def pause_ms(self, endpoint: Endpoint, now: float, calls: float = 1.0) -> float:
-        """Return how long calls occupy the schedule of an endpoint that is down or warming up.
-
-        Draws a random factor.
-
-        Protects a destination that is down or has just recovered with little capacity: the trials, health
-        checks and events of this node use only its share of the calls that the destination withstands. The
-        share is the mean of this node's average ack rate before the outage and an equal share among the nodes
-        that can have noticed the outage. The shares of each kind add up to the whole, however many nodes
-        there are. The cost is unused capacity where other nodes leave their shares unused.
-        """
+        """Return how long calls occupy the schedule of an endpoint that is down or warming up."""
+        # This draws a random factor.
+        #
+        # This protects a destination that is down or has just recovered with little capacity: the trials,
+        # health checks and events of this node use only its share of the calls that the destination
+        # withstands. The share is the mean of this node's average ack rate before the outage and an equal
+        # share among the nodes that can have noticed the outage. The shares of each kind add up to the whole,
+        # however many nodes there are. The cost is unused capacity where other nodes leave their shares
+        # unused.
         capacity_share = self._capacity_share(endpoint, now)
         full_capacity_pause_ms = calls * self._full_capacity_pause_ms(endpoint, now)
         factor = self.jitter.uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
@@ -75,22 +74,21 @@
         return self._full_capacity_pause_ms(endpoint, now) / self.cold_capacity_share
 
     def _capacity_share(self, endpoint: Endpoint, now: float) -> float:
-        """Return the share of its capacity that the endpoint has now."""
+        # Return the share of its capacity that the endpoint has now.
         if endpoint.is_down:
             return self.cold_capacity_share
         return self.cold_capacity_share + self.capacity_growth_per_ms * (now - endpoint.warm_up_began_at)
 
     @staticmethod
     def _demand_rate(endpoint: Endpoint) -> float:
-        """Return the events per ms of the destination when they reach the limits of all of its routes.
-
-        Events that one route rejects go to the next.
-        """
+        # Return the events per ms of the destination when they reach the limits of all of its routes.
+        #
+        # Events that one route rejects go to the next.
         limiters = {other.rate_limiter for other in endpoint.destination.endpoints} | {endpoint.rate_limiter}
         return sum(limiter.listed_rate or 0.0 for limiter in limiters)
 
     def _full_capacity_pause_ms(self, endpoint: Endpoint, now: float) -> float:
-        """Return the time between two calls of this node if the endpoint had its full capacity."""
+        # Return the time between two calls of this node if the endpoint had its full capacity.
         limiter = endpoint.rate_limiter
         if limiter.listed_rate:
             window_ms = max(limiter.sharing.activity_window_ms, now - limiter.outage_began_at)
--- a/swiftthread/routing/retry_rules.py
+++ b/swiftthread/routing/retry_rules.py
@@ -20,12 +20,11 @@
 
 
 def deduplication_group(event: Event, endpoint: Endpoint) -> GroupId:
-    """Return the group of endpoints that recognise a repeat of an event that was sent to this endpoint.
-
-    The group is identified by a value that stays valid across restarts: the zone of its endpoints, or the id
-    of this endpoint alone where the group of the stream type is a single endpoint or unknown. For a stream
-    type whose group is all endpoints the zone is returned as well, but `is_bound_to_group` is false there.
-    """
+    """Return the group of endpoints that recognise a repeat of an event that was sent to this endpoint."""
+    # The group is identified by a value that stays valid across restarts: the zone of its endpoints, or the
+    # id of this endpoint alone where the group of the stream type is a single endpoint or unknown. For a
+    # stream type whose group is all endpoints the zone is returned as well, but `is_bound_to_group` is false
+    # there.
     if event.stream_type.deduplication_group in MULTI_ENDPOINT_GROUPS:
         return endpoint.zone
     return endpoint.endpoint_id
--- a/swiftthread/routing/router.py
+++ b/swiftthread/routing/router.py
@@ -1,13 +1,12 @@
-"""Makes all routing decisions of one delivery node, which sees only its own traffic.
-
-A caller builds one `Router`, adds events (`add_event`) and reports what it observes (`apply_endpoint_list`,
-`record_list_request_failure`, `withdraw`, `record_health_check`). It sorts the events that are due for a
-decision (`sort_by_urgency`) and makes three calls for each of them: `decide` (returns a `Send`, `Defer`,
-`Reject` or `Abandon`), `record_outcome` (what the outcome of an attempt means for the event) and `next_check`
-(when to decide again after a `Defer`). `endpoints_due_for_health_check`, `endpoints_to_disconnect`,
-`start_due_list_request` and `next_wakeup_at` are called once per scheduling cycle. All times and durations
-are in milliseconds on the caller's clock. The design is described in docs/design.md.
-"""
+"""Makes all routing decisions of one delivery node, which sees only its own traffic."""
+# A caller builds one `Router`, adds events (`add_event`) and reports what it observes (`apply_endpoint_list`,
+# `record_list_request_failure`, `withdraw`, `record_health_check`). It sorts the events that are due for a
+# decision (`sort_by_urgency`) and makes three calls for each of them: `decide` (returns a `Send`, `Defer`,
+# `Reject` or `Abandon`), `record_outcome` (what the outcome of an attempt means for the event) and
+# `next_check` (when to decide again after a `Defer`). `endpoints_due_for_health_check`,
+# `endpoints_to_disconnect`, `start_due_list_request` and `next_wakeup_at` are called once per scheduling
+# cycle. All times and durations are in milliseconds on the caller's clock. The design is described in
+# docs/design.md.
 
 from __future__ import annotations
 
@@ -55,13 +54,8 @@
     """Makes the decisions of one delivery node; owns the decision modules and calls them in sequence."""
 
     def __init__(self, settings: Settings, seed: int, observer: RoutingObserver | None = None) -> None:
-        """Build a router.
-
-        Args:
-            settings: The configuration of the node.
-            seed: Seed of the generator for all random draws.
-            observer: Is notified of state changes of endpoints; None for no notifications.
-        """
+        # Build a router. The seed is that of the generator for all random draws. The observer is notified of
+        # state changes of endpoints; None stands for no notifications.
         self.stream_types: list[StreamType] = list(settings.stream_types)
         self.jitter = Jitter(seed)
         self.recovery = RecoveryPacing(settings, self.jitter)
@@ -137,10 +131,8 @@
         return bool(destination.endpoints and destination.endpoints[0].has_separate_route)
 
     def has_joinable_call(self, destination: Destination, now: float) -> bool:
-        """Return whether a call of this scheduling cycle has positions left for further events.
-
-        It may still be closed to some of them (see `AttemptTimeouts.may_share_call`).
-        """
+        """Return whether a call of this scheduling cycle has positions left for further events."""
+        # The call may still be closed to some of them (see `AttemptTimeouts.may_share_call`).
         return any(endpoint.rate_limiter.has_joinable_call(now) for endpoint in destination.endpoints)
 
     # Pending events: admission, urgency and ordering keys.
@@ -154,19 +146,12 @@
         tenant: int | None = None,
         ordering_key: Hashable = 0,
     ) -> Event:
-        """Add a pending event.
-
-        Args:
-            now: The current time.
-            stream_type_number: The index of the event's stream type in the settings.
-            destination_number: The number of its destination in the endpoint list.
-            time_left_ms: The time until the event reaches its max age.
-            tenant: The index of its tenant in the quotas of the settings; None for no known tenant.
-            ordering_key: Its ordering key, used only if its stream type is ordered; 0 or "" for none.
-
-        Returns:
-            The event, which the caller passes to the other methods.
-        """
+        """Add a pending event."""
+        # The event is returned, and the caller passes it to the other methods. `stream_type_number` is the
+        # index of the event's stream type in the settings, and `destination_number` is the number of its
+        # destination in the endpoint list. `time_left_ms` is the time until the event reaches its max age.
+        # `tenant` is the index of its tenant in the quotas of the settings; None stands for no known tenant.
+        # `ordering_key` is used only if the stream type of the event is ordered; 0 or "" stands for none.
         stream_type = self.stream_types[stream_type_number]
         destination = self.endpoint_list.get_or_add_destination(destination_number)
         expires_at = now + time_left_ms
@@ -201,10 +186,8 @@
         return self.urgency.rank(event, horizon_ms, now)
 
     def ordering_ready_at(self, event: Event, now: float) -> float:
-        """Return when an event may be sent as far as its ordering key permits.
-
-        That is `now`, a later time, or inf while another event of the key must finish first.
-        """
+        """Return when an event may be sent as far as its ordering key permits."""
+        # The result is `now`, a later time, or inf while another event of the key must finish first.
         return self.ordering.may_send_at(event, now)
 
     def first_pending_of_key(self, ordering_key: Hashable) -> Event | None:
@@ -273,10 +256,8 @@
         return NextCheck(max(now, event.next_check_at), event.waits_for_outcome)
 
     def send_deadline(self, event: Event, endpoint: Endpoint, now: float) -> float:
-        """Return the time by which the last byte of a request must be sent; -inf if it must not be started.
-
-        Repeats checks of `decide`, because their results may change while a connection is established.
-        """
+        """Return the time by which the last byte of a request must be sent; -inf if it must not start."""
+        # This repeats checks of `decide`, because their results may change while a connection is established.
         if (
             event.is_finished
             or not endpoint.is_ready
@@ -299,18 +280,13 @@
     ) -> Defer | Reject | Abandon | None:
         """Record the outcome of an attempt, and return what it means for the event.
 
-        Args:
-            event: The event, which has an attempt in flight.
-            outcome: The outcome of the attempt.
-            now: The current time.
-            latency_ms: The time from the start of the attempt to its outcome.
-            retry_after_ms: The Retry-After that the endpoint's response named; 0 if it named none.
-            is_event_finished: Whether the event is finished with this outcome.
-            load_report: The load report of the endpoint's response; None if it had none.
-
         Returns:
             The decision on the event; None if the event is finished.
         """
+        # The event has an attempt in flight. `latency_ms` is the time from the start of the attempt to its
+        # outcome. `retry_after_ms` is the Retry-After that the endpoint's response named; it is 0 if the
+        # response named none. `is_event_finished` says whether the event is finished with this outcome.
+        # `load_report` is the load report of the endpoint's response; it is None if the response had none.
         call, endpoint = event.call, event.endpoint
         assert call is not None and endpoint is not None  # an attempt is in flight
         event.call = None
@@ -339,10 +315,8 @@
     # Called once per scheduling cycle.
 
     def endpoints_due_for_health_check(self, now: float) -> list[Endpoint]:
-        """Return the endpoints to send a health check to now, each of which counts as being checked.
-
-        They are unresponsive, have pending events, and are checked at the pace of trials.
-        """
+        """Return the endpoints to send a health check to now, each of which counts as being checked."""
+        # The endpoints are unresponsive, have pending events, and are checked at the pace of trials.
         return self.health_checks.start_due_checks(now)
 
     def record_health_check(
@@ -367,11 +341,10 @@
         return min(request_at if request_at > now else math.inf, self.health_checks.next_at(now))
 
     def _must_shed(self, event: Event) -> bool:
-        """Return whether to reject an event because the node is over capacity.
-
-        Only events of destinations with more pending events than the average destination are rejected, and
-        only if that is safe.
-        """
+        # Return whether to reject an event because the node is over capacity.
+        #
+        # Only events of destinations with more pending events than the average destination are rejected, and
+        # only if that is safe.
         return (
             self.pending.is_exceeded()
             and self.pending.has_long_queue(event.destination)
@@ -409,7 +382,7 @@
         return call
 
     def _resolve_in_call(self, call: Call, outcome: SendOutcome) -> None:
-        """Resolve one event of a call; the call finishes with the last of its events."""
+        # Resolve one event of a call; the call finishes with the last of its events.
         call.unresolved_count -= 1
         if call.unresolved_count:
             return
@@ -419,7 +392,7 @@
             call.endpoint.rate_limiter.release_slot()  # nothing was executed: the next call may use the slot
 
     def _record_possible_run(self, event: Event, outcome: SendOutcome, now: float) -> None:
-        """Record that an attempt may have had an effect, or may still run."""
+        # Record that an attempt may have had an effect, or may still run.
         if event.may_have_run_at is None:
             event.may_have_run_at = event.sent_at
             event.may_have_run_group = event.sent_group
--- a/swiftthread/routing/selection.py
+++ b/swiftthread/routing/selection.py
@@ -88,11 +88,10 @@
 
     @staticmethod
     def _without_ejected(candidates: list[Candidate], event: Event, now: float) -> list[Candidate]:
-        """Return the candidates that did not recently fail the event's stream type, or all if each did.
-
-        Protects a stream type that one endpoint fails while it acks others. The cost is lost capacity where
-        the failures were chance and the other endpoints have less capacity.
-        """
+        # Return the candidates that did not recently fail the event's stream type, or all if each did.
+        #
+        # This protects a stream type that one endpoint fails while it acks others. The cost is lost capacity
+        # where the failures were chance and the other endpoints have less capacity.
         stream_type = event.stream_type
         return [
             candidate
@@ -101,7 +100,7 @@
         ] or candidates
 
     def _available_at(self, endpoint: Endpoint, now: float) -> float:
-        """Return when this endpoint may get a call; inf when that depends on the outcome of an attempt."""
+        # Return when this endpoint may get a call; inf when that depends on the outcome of an attempt.
         limiter = endpoint.rate_limiter
         if endpoint.is_down:
             if (
@@ -121,18 +120,17 @@
 
     @staticmethod
     def _is_unresponsive(endpoint: Endpoint, now: float) -> bool:
-        """Return whether the calls in flight to an endpoint have had no outcome for too long.
-
-        The rate limiter reserves slots without regard to when calls finish, so it would let one call after
-        another go to an unresponsive endpoint.
-        """
+        # Return whether the calls in flight to an endpoint have had no outcome for too long.
+        #
+        # The rate limiter reserves slots without regard to when calls finish, so it would let one call after
+        # another go to an unresponsive endpoint.
         factor = 1 if endpoint.calls_in_flight > 1 else SINGLE_CALL_UNRESPONSIVE_FACTOR
         return now - endpoint.last_outcome_at > endpoint.rate_limiter.unresponsive_after_ms() * factor
 
     def _select_route(
         self, event: Event, candidates: list[Candidate], now: float
     ) -> Selected | NoneAvailable:
-        """Choose among routes with separate limits the one with the best value after its carriage cost."""
+        # Choose among routes with separate limits the one with the best value after its carriage cost.
 
         def benefit(candidate: Candidate) -> tuple[float, float]:
             limiter = candidate.endpoint.rate_limiter
@@ -156,7 +154,7 @@
 
     @staticmethod
     def _select_replica(event: Event, candidates: list[Candidate], now: float) -> Selected | NoneAvailable:
-        """Choose among endpoints that share a limiter the first in rank order that has too few calls."""
+        # Choose among endpoints that share a limiter the first in rank order that has too few calls.
         limiter = event.destination.rate_limiter
         assert limiter is not None  # set with the first endpoint
         ready = [candidate.endpoint for candidate in candidates if candidate.available_at <= now]
--- a/swiftthread/routing/settings.py
+++ b/swiftthread/routing/settings.py
@@ -50,11 +50,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Settings:
-    """Settings of one router.
+    """Settings of one router."""
 
-    By default calls and pending events are unlimited, and quotas, listed rates, health checks, Retry-After
-    advice and polling of discovery are off.
-    """
+    # By default calls and pending events are unlimited, and quotas, listed rates, health checks, Retry-After
+    # advice and polling of discovery are off.
 
     stream_types: Sequence[StreamType] = ()
     node_count: int = 1
--- a/swiftthread/routing/statistics.py
+++ b/swiftthread/routing/statistics.py
@@ -21,10 +21,8 @@
         self._counted_at = now
 
     def at(self, time: float) -> float:
-        """Return the rate at a time.
-
-        A time before the last counted event gets the rate at that event with its decay reversed.
-        """
+        """Return the rate at a time."""
+        # A time before the last counted event gets the rate at that event with its decay reversed.
         return self._rate * math.exp((self._counted_at - time) / self.window_ms)
 
 
--- a/swiftthread/routing/timeouts.py
+++ b/swiftthread/routing/timeouts.py
@@ -49,12 +49,10 @@
         return max(MIN_TIMEOUT_MS, min(timeout_ms, longest_ms, time_left_ms))
 
     def may_share_call(self, event: Event, endpoint: Endpoint, now: float) -> bool:
-        """Return whether an event may share a call with others.
-
-        Protects the other events: a call ends for all of its events when one of them runs out of time, and an
-        event that has less time left than a slow response takes would break off the call for the others. The
-        cost: when many events are close to their max age, each of them takes a separate slot.
-        """
+        """Return whether an event may share a call with others."""
+        # This protects the other events: a call ends for all of its events when one of them runs out of time,
+        # and an event that has less time left than a slow response takes would break off the call for the
+        # others. The cost: when many events are close to their max age, each of them takes a separate slot.
         time_left_ms = self._time_left_ms(event, now)
         return (
             time_left_ms >= endpoint.rate_limiter.unresponsive_after_ms()
@@ -62,5 +60,5 @@
         )
 
     def _time_left_ms(self, event: Event, now: float) -> float:
-        """Return how long the node may wait for a response; the margin leaves time to report the outcome."""
+        # Return how long the node may wait for a response; the margin leaves time to report the outcome.
         return event.expires_at - self.final_outcome_margin_ms - now
--- a/swiftthread/routing/urgency.py
+++ b/swiftthread/routing/urgency.py
@@ -34,10 +34,8 @@
         return sorted(events, key=lambda event: self.rank(event, horizons_ms[event.destination], now))
 
     def horizon_ms(self, destination: Destination, now: float) -> float:
-        """Return how long a destination's whole queue takes, in ms and within bounds.
-
-        Events are ranked by the cost of waiting that long.
-        """
+        """Return how long a destination's whole queue takes, in ms and within bounds."""
+        # Events are ranked by the cost of waiting that long.
         return min(self.longest_wait_ms, max(MIN_HORIZON_MS, queue_drain_time_ms(destination, now)))
 
     def rank(self, event: Event, horizon_ms: float, now: float) -> tuple[float, float]:
@@ -45,11 +43,10 @@
         return -self._delay_cost_per_ms(event, horizon_ms, now), event.latency_objective_at
 
     def _delay_cost_per_ms(self, event: Event, horizon_ms: float, now: float) -> float:
-        """Return the value per ms that the event loses by waiting for the queue after its latency objective.
-
-        It is lower the farther the latency objective lies beyond that wait. Protects deliveries during an
-        overload, when sending the oldest event first would deliver all events too late.
-        """
+        # Return the value per ms that the event loses by waiting for the queue after its latency objective.
+        #
+        # It is lower the farther the latency objective lies beyond that wait. This protects deliveries during
+        # an overload, when sending the oldest event first would deliver all events too late.
         late_at = max(now, event.latency_objective_at)
         after_wait_at = max(now + horizon_ms, late_at + MIN_HORIZON_MS)
         loss_per_ms = (self.value_at(event, late_at) - self.value_at(event, after_wait_at)) / horizon_ms
