--- a/swiftthread/clocks.py
+++ b/swiftthread/clocks.py
@@ -8,7 +8,8 @@
 
 
 def monotonic_ms() -> float:
-    """Returns monotonic time, for durations; it never goes back and is meaningless after a reboot."""
+    """Returns monotonic time, for durations."""
+    # It never goes back and is meaningless after a reboot.
     return time.monotonic() * 1000.0
 
 
--- a/swiftthread/configuration/node_config.py
+++ b/swiftthread/configuration/node_config.py
@@ -22,17 +22,14 @@
 
 
 class ConfigurationError(MalformedInput):
-    """The configuration of a node cannot be used.
-
-    Attributes:
-        path: Path of the configuration file; None if LB_CONFIG names none.
-        key: Key of the document whose value is wrong or missing; None if the whole document cannot be used.
-    """
+    """The configuration of a node cannot be used."""
 
     def __init__(self, reason: str, path: str | None = None, key: str | None = None) -> None:
         super().__init__(reason if path is None else f"the configuration {path}: {reason}")
         self.path = path
+        """Path of the configuration file; None if LB_CONFIG names none."""
         self.key = key
+        """Key of the document whose value is wrong or missing; None if the whole document cannot be used."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -63,8 +60,7 @@
 
     Args:
         environ: Environment variables. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_STATE override the document.
-        is_reload: Whether the node is running already. LB_DISCOVERY applies only at startup, so a reload
-            takes the address of discovery from the document.
+        is_reload: Whether the node is running already; LB_DISCOVERY is then ignored.
 
     Raises:
         ConfigurationError: The configuration cannot be used.
@@ -78,6 +74,7 @@
     with _converted_errors(path, "listen"):
         listen = parse_address(environ.get("LB_LISTEN") or document["listen"])
     with _converted_errors(path, "discovery"):
+        # LB_DISCOVERY applies only at startup, so a reload takes the address of discovery from the document.
         discovery_override = None if is_reload else environ.get("LB_DISCOVERY")
         discovery = parse_address(discovery_override or document["discovery"])
     with _converted_errors(path, "state"):
@@ -122,7 +119,7 @@
 
 @contextlib.contextmanager
 def _converted_errors(path: str, key: str) -> Iterator[None]:
-    """Convert errors of reading the value of a key to `ConfigurationError`."""
+    # Convert errors of reading the value of a key to `ConfigurationError`.
     try:
         yield
     except MalformedInput as error:
--- a/swiftthread/configuration/settings_reader.py
+++ b/swiftthread/configuration/settings_reader.py
@@ -57,7 +57,7 @@
 
 
 def _read_values(document: Mapping[str, Any]) -> dict[str, Any]:
-    """Returns the fields of `Settings` by name; the value is None if the document leaves the setting out."""
+    # Returns the fields of `Settings` by name; the value is None if the document leaves the setting out.
     domain = document.get("Domain") or {}
     obligations = document.get("Obligations") or {}
     permissions = document.get("Permissions") or {}
@@ -101,13 +101,10 @@
 def read_stream_type(number: int, profile: Mapping[str, Any]) -> StreamType:
     """Read a stream type; an unclear effect, deduplication group or window is interpreted conservatively.
 
-    Args:
-        number: Position of the profile in the document, for error messages.
-        profile: The profile from the document.
-
     Raises:
         MalformedInput: A value has the wrong type or format.
     """
+    # `number` is the position of the profile in the document, for error messages.
     effect_name: Any = profile.get("Effect")
     try:
         return StreamType(
@@ -163,7 +160,7 @@
 
 
 def _to_ms(seconds: float | None) -> float:
-    """Convert seconds to ms, None to 0; raises ValueError if the result is not finite."""
+    # Convert seconds to ms, None to 0; raises ValueError if the result is not finite.
     value = 1000.0 * (seconds or 0.0)
     if not math.isfinite(value):
         raise ValueError(f"{seconds} is not a finite duration")
--- a/swiftthread/service/activity.py
+++ b/swiftthread/service/activity.py
@@ -32,10 +32,9 @@
 
 
 class Activity:
-    """Counts submissions, attempts and final outcomes, and logs state changes of endpoints.
+    """Counts submissions, attempts and final outcomes, and logs state changes of endpoints."""
 
-    It is the `RoutingObserver` of a node.
-    """
+    # It is the `RoutingObserver` of a node.
 
     def __init__(self) -> None:
         self.submissions: Counter[AdmissionOutcome] = Counter()
--- a/swiftthread/service/admission.py
+++ b/swiftthread/service/admission.py
@@ -1,10 +1,9 @@
-"""Load shedding: limits how many requests an overloaded node reads. No I/O.
+"""Load shedding: limits how many requests an overloaded node reads. No I/O."""
 
-A node that reads every request spends its CPU time on submissions while its pending events wait, so its
-throughput falls as the load grows. Therefore, while scheduling cycles are delayed, about as many requests are
-read in a cycle as events were decided in it. The other requests stay unread in the kernel, where they cost
-nothing. A client that gives up meanwhile loses nothing, because its event was not accepted.
-"""
+# A node that reads every request spends its CPU time on submissions while its pending events wait, so its
+# throughput falls as the load grows. Therefore, while scheduling cycles are delayed, about as many requests
+# are read in a cycle as events were decided in it. The other requests stay unread in the kernel, where they
+# cost nothing. A client that gives up meanwhile loses nothing, because its event was not accepted.
 
 import math
 
@@ -20,18 +19,15 @@
 
 
 class AdmissionController:
-    """Decides how many requests may be read until the next scheduling cycle.
-
-    Attributes:
-        scheduling_interval_ms: Pause between two scheduling cycles.
-        mean_delay_ms: Smoothed delay of the scheduling cycles.
-        remaining_requests: Requests that may still be read until the next scheduling cycle.
-    """
+    """Decides how many requests may be read until the next scheduling cycle."""
 
     def __init__(self, scheduling_interval_ms: float) -> None:
         self.scheduling_interval_ms = scheduling_interval_ms
+        """Pause between two scheduling cycles."""
         self.mean_delay_ms = 0.0
+        """Smoothed delay of the scheduling cycles."""
         self.remaining_requests = math.inf
+        """Requests that may still be read until the next scheduling cycle."""
 
     def record_cycle(self, delay_ms: float, decided_count: int) -> None:
         """Record the delay of a scheduling cycle and the number of events that it decided."""
--- a/swiftthread/service/composition.py
+++ b/swiftthread/service/composition.py
@@ -41,11 +41,8 @@
     """Builds one node, not yet started, that has the endpoint list of the configuration.
 
     Args:
-        config: Configuration of the node.
-        limits: Resources that the node may use.
         log: The open write-ahead log, which is closed after the node has ended.
         log_clock: Clock of the timestamps in the log.
-        tasks: Task group in which the node's tasks run.
     """
 
     def __init__(
@@ -57,9 +54,11 @@
         tasks: TaskGroup,
     ) -> None:
         self._config = config
+        # These are the resources that the node may use.
         self._limits = limits
         self._log = log
         self._log_clock = log_clock
+        # The node's tasks run in this task group.
         self._tasks = tasks
         self._buffers = BufferPool()
         self._activity = Activity()
@@ -172,7 +171,7 @@
         )
 
     def _apply_initial_list(self, discovery: DiscoveryClient) -> None:
-        """Use the configuration's endpoint list until the discovery watch delivers a newer one."""
+        # Use the configuration's endpoint list until the discovery watch delivers a newer one.
         initial_list = self._config.initial_list
         if not initial_list:
             return
--- a/swiftthread/service/delivery.py
+++ b/swiftthread/service/delivery.py
@@ -28,11 +28,7 @@
 
 
 class EventDelivery:
-    """Takes each event from its admission, or from the log after a restart, to its final outcome.
-
-    Attributes:
-        pending_bytes: Total size of the bodies of the events in delivery.
-    """
+    """Takes each event from its admission, or from the log after a restart, to its final outcome."""
 
     def __init__(
         self,
@@ -50,6 +46,7 @@
         tasks: TaskGroup,
     ) -> None:
         self.pending_bytes = 0
+        """Total size of the bodies of the events in delivery."""
         self._router = router
         self._scheduler = scheduler
         self._log = log
@@ -119,10 +116,8 @@
         self._tasks.start_soon(self._notify, pending, Decision(outcome, 0.0))
 
     async def _run(self, pending: PendingEvent, event: Event) -> None:
-        """Deliver an event until it is acked or has a final outcome, and record which.
-
-        It starts after the response to the client was sent, or the client disconnected.
-        """
+        # Deliver an event until it is acked or has a final outcome, and record which. It starts after the
+        # response to the client was sent, or the client disconnected.
         try:
             await self._deliver(pending, event)
         except Exception:  # protects the other events: only this one is abandoned, its effect being unknown
@@ -139,7 +134,7 @@
         self.pending_bytes -= len(pending.body)
 
     async def _deliver(self, pending: PendingEvent, event: Event) -> None:
-        """Make attempts until the event is acked or its final outcome is decided."""
+        # Make attempts until the event is acked or its final outcome is decided.
         while pending.decision is None:
             decision: Send | Reject | Abandon | Defer | None = await self._scheduler.wait_for_decision(event)
             if isinstance(decision, Send):
@@ -152,7 +147,7 @@
     async def _attempt(
         self, pending: PendingEvent, event: Event, send: Send
     ) -> Reject | Abandon | Defer | None:
-        """Make one attempt; returns the router's next decision, or None once the event is finished."""
+        # Make one attempt; returns the router's next decision, or None once the event is finished.
         is_logged = self._log.append_sent(pending, event.sent_group)
         if is_logged:
             result = await self._endpoint_client.send(pending, send)
@@ -178,19 +173,15 @@
 
     @staticmethod
     async def _skip_unlogged_send() -> SendResult:
-        """Returns the result of a send that could not be logged and so was not made.
-
-        It does so after a pause, because otherwise writes to a full disk would be retried continuously.
-        """
+        # Returns the result of a send that could not be logged and so was not made. It does so after a pause,
+        # because otherwise writes to a full disk would be retried continuously.
         await anyio.sleep(LOG_RETRY_PAUSE_MS / 1000.0)
         return SendResult(SendOutcome.NOT_SENT, 0.0)
 
     async def _notify(self, pending: PendingEvent, decision: Decision) -> None:
-        """Notify the platform of a final outcome once it is in the log, or once the event has expired.
-
-        Without the log entry, a restarted process would deliver an event that its client has meanwhile
-        resubmitted to another node.
-        """
+        # Notify the platform of a final outcome once it is in the log, or once the event has expired. Without
+        # the log entry, a restarted process would deliver an event that its client has meanwhile resubmitted
+        # to another node.
         while not self._log.append_decision(pending, decision) and self._log_clock() < pending.expires_at:
             await anyio.sleep(LOG_RETRY_PAUSE_MS / 1000.0)
         await self._notifier.notify(pending.event_id, decision)
--- a/swiftthread/service/limits.py
+++ b/swiftthread/service/limits.py
@@ -1,8 +1,7 @@
-"""Resource limits and time-outs that do not depend on the router.
+"""Resource limits and time-outs that do not depend on the router."""
 
-They divide the machine's limits among their uses, and set the time-outs of the HTTP server and of the clients
-of the platform. Only `swiftthread.routing` decides whether, when and where an event is sent.
-"""
+# They divide the machine's limits among their uses, and set the time-outs of the HTTP server and of the
+# clients of the platform. Only `swiftthread.routing` decides whether, when and where an event is sent.
 
 from collections.abc import Mapping
 from dataclasses import InitVar, dataclass, field
@@ -61,37 +60,32 @@
 
 @dataclass
 class Limits:
-    """Limits of one node, derived from the limits in the configuration.
-
-    Args:
-        machine_limits: `sockets`, `disk_mb` and `memory_mb` from the configuration; each has a default.
-        max_calls_in_flight: Maximum number of concurrent calls to endpoints; 0 or inf if not set.
-        keepalive_ms: How long endpoints keep an idle connection open.
-        connect_timeout_setting_ms: Time-out of a connect to an endpoint; 0 if not set.
-
-    Attributes:
-        max_idle_connections: Maximum number of idle connections to endpoints.
-        max_idle_ms: How long such a connection may be idle.
-        max_clients: Maximum number of client connections.
-        max_idle_clients: Maximum number of idle client connections.
-        backlog: Maximum number of connections waiting to be accepted.
-        disk_bytes: Maximum size of the write-ahead log.
-        connect_timeout_ms: Time-out of a connect to an endpoint.
-        max_pending_bytes: Maximum total size of the bodies of pending events.
-    """
+    """Limits of one node, derived from the limits in the configuration."""
 
     machine_limits: InitVar[Mapping[str, Any]]
+    """`sockets`, `disk_mb` and `memory_mb` from the configuration; each has a default."""
     max_calls_in_flight: InitVar[float]
+    """Maximum number of concurrent calls to endpoints; 0 or inf if not set."""
     keepalive_ms: InitVar[float]
+    """How long endpoints keep an idle connection open."""
     connect_timeout_setting_ms: InitVar[float]
+    """Time-out of a connect to an endpoint; 0 if not set."""
     max_idle_connections: int = field(init=False)
+    """Maximum number of idle connections to endpoints."""
     max_idle_ms: float = field(init=False)
+    """How long such a connection may be idle."""
     max_clients: int = field(init=False)
+    """Maximum number of client connections."""
     max_idle_clients: int = field(init=False)
+    """Maximum number of idle client connections."""
     backlog: int = field(init=False)
+    """Maximum number of connections waiting to be accepted."""
     disk_bytes: int = field(init=False)
+    """Maximum size of the write-ahead log."""
     connect_timeout_ms: float = field(init=False)
+    """Time-out of a connect to an endpoint."""
     max_pending_bytes: int = field(init=False)
+    """Maximum total size of the bodies of pending events."""
 
     def __post_init__(
         self,
--- a/swiftthread/service/log_filter.py
+++ b/swiftthread/service/log_filter.py
@@ -13,7 +13,7 @@
 
 
 class _CallSiteHistory:
-    """When a call site last wrote a line, and how many lines were suppressed since."""
+    # When a call site last wrote a line, and how many lines were suppressed since.
 
     __slots__ = ("last_passed_at_s", "suppressed_count")
 
@@ -23,11 +23,10 @@
 
 
 class RepeatFilter:
-    """Loguru filter that passes one line of each call site per `REPEAT_INTERVAL_S`.
+    """Loguru filter that passes one line of each call site per `REPEAT_INTERVAL_S`."""
 
-    It keeps the log readable when many equal lines are written. The number of suppressed lines is appended to
-    the next line of that call site.
-    """
+    # It keeps the log readable when many equal lines are written. The number of suppressed lines is appended
+    # to the next line of that call site.
 
     def __init__(self) -> None:
         # (file name, line) -> history; there is at most one entry for each call site in the code.
--- a/swiftthread/service/node.py
+++ b/swiftthread/service/node.py
@@ -29,11 +29,10 @@
 
 @dataclass(kw_only=True)
 class Node:
-    """The components of a node, and the tasks that connect them.
+    """The components of a node, and the tasks that connect them."""
 
-    `connections` contains the idle connections to endpoints. The owner of the node closes `log` and
-    `connections`.
-    """
+    # `connections` contains the idle connections to endpoints. The owner of the node closes `log` and
+    # `connections`.
 
     router: Router
     scheduler: Scheduler
@@ -59,10 +58,8 @@
         self.tasks.start_soon(self.activity.report)
 
     def _on_cycle(self, now: float, decided_count: int, delay_ms: float) -> None:
-        """Do the work that follows each scheduling cycle.
-
-        It starts calls, admits waiting requests, starts health checks and closes idle connections.
-        """
+        # Do the work that follows each scheduling cycle. It starts calls, admits waiting requests, starts
+        # health checks and closes idle connections.
         self.endpoint_client.start_batches()
         self.admission.record_cycle(delay_ms, decided_count)
         self.server.admit_waiting()
@@ -72,7 +69,7 @@
             self.endpoint_client.close_idle_connections(endpoint)
 
     async def _check_health(self, endpoint: Endpoint) -> None:
-        """Make one health check and record its outcome in the router."""
+        # Make one health check and record its outcome in the router.
         result = await self.endpoint_client.check_health(endpoint)
         now = await self.scheduler.wait_for_cycle()
         self.router.record_health_check(
@@ -81,13 +78,13 @@
         self.scheduler.wake(endpoint.destination)
 
     async def _apply_endpoint_list(self, entries: list[EndpointEntry], is_complete: bool) -> None:
-        """Apply a complete endpoint list, or a change to it, to the router."""
+        # Apply a complete endpoint list, or a change to it, to the router.
         now = await self.scheduler.wait_for_cycle()
         self.router.apply_endpoint_list(entries, is_complete, now)
         self.scheduler.wake()
 
     async def _follow_discovery(self) -> None:
-        """Keep a discovery watch open; after a failure the router determines when to open the next one."""
+        # Keep a discovery watch open; after a failure the router determines when to open the next one.
         while True:
             if not await self.discovery.watch(self._apply_endpoint_list):
                 continue
--- a/swiftthread/service/pending_queues.py
+++ b/swiftthread/service/pending_queues.py
@@ -1,13 +1,13 @@
-"""Queues of pending events. No I/O.
+"""Queues of pending events. No I/O."""
 
-The cost of a scheduling cycle depends on the number of events that can be decided, not on the number pending.
-
-The router makes every decision: the order of the events and what happens to each. This module only selects
-the events that the router is asked to decide. Events of one destination that the router treats alike share
-one `QueueGroup`: when the router defers the most urgent of them, it would also defer all events behind it, so
-it is not asked about those. An ordered event is in no group while earlier events of its ordering key are
-pending.
-"""
+# The cost of a scheduling cycle depends on the number of events that can be decided, not on the number
+# pending.
+#
+# The router makes every decision: the order of the events and what happens to each. This module only selects
+# the events that the router is asked to decide. Events of one destination that the router treats alike share
+# one `QueueGroup`: when the router defers the most urgent of them, it would also defer all events behind it,
+# so it is not asked about those. An ordered event is in no group while earlier events of its ordering key are
+# pending.
 
 import heapq
 import math
@@ -45,27 +45,26 @@
 
 
 class PendingQueues:
-    """Pending events, and the order in which the router is asked to decide them.
-
-    Attributes:
-        group_of: Pending event -> its group, or None while it waits for its ordering key; an entry is removed
-            when its event leaves.
-        groups: Groups by key; a group is removed with its last event.
-        groups_by_destination: The same groups (as ordered sets) by destination; removed together with them.
-        waiting_for_slot: Ordered set of groups that may wait for a slot held by a call to any destination;
-            emptied by the next outcome.
-        event_timers: Deadlines of events, and ends of the pauses of their ordering keys.
-        group_timers: Times at which deferred groups become ready.
-    """
+    """Pending events, and the order in which the router is asked to decide them."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
         self.group_of: dict[Event, QueueGroup | None] = {}
+        """Pending event -> its group, or None while it waits for its ordering key; an entry is removed when
+        its event leaves.
+        """
         self.groups: dict[tuple[Hashable, ...], QueueGroup] = {}
+        """Groups by key; a group is removed with its last event."""
         self.groups_by_destination: dict[Destination, dict[QueueGroup, bool]] = {}
+        """The same groups (as ordered sets) by destination; removed together with them."""
         self.waiting_for_slot: dict[QueueGroup, bool] = {}
+        """Ordered set of groups that may wait for a slot held by a call to any destination; emptied by the
+        next outcome.
+        """
         self.event_timers = EventTimers()
+        """Deadlines of events, and ends of the pauses of their ordering keys."""
         self.group_timers = GroupTimers()
+        """Times at which deferred groups become ready."""
         self._next_sequence_number = count()
         # Ordered set of groups that the next scheduling cycle handles; emptied by it.
         self._ready: dict[QueueGroup, bool] = {}
@@ -84,7 +83,8 @@
         self._enqueue(event, now)
 
     def remove(self, event: Event) -> None:
-        """Remove an event that was decided or finished; the next event of its ordering key may follow."""
+        """Remove an event that was decided or finished."""
+        # The next event of its ordering key may follow.
         self._leave_group(event)
         self.group_of.pop(event, None)
         self.event_timers.cancel(event)
@@ -94,11 +94,10 @@
     def wake(self, destination: Destination | None = None) -> None:
         """Make deferred groups ready for the next cycle after a change in the router.
 
-        These are the groups of the destination, and if a call slot is free, those that may wait for one.
-
         Args:
             destination: Destination whose state changed; None makes all groups ready.
         """
+        # These are the groups of the destination, and if a call slot is free, those that may wait for one.
         if destination is None:
             self._ready.update(dict.fromkeys(self.groups.values(), True))
             return
@@ -114,11 +113,9 @@
         return min(self.group_timers.next_at(), self.event_timers.next_at())
 
     def run_cycle(self, now: float) -> list[EventDecision]:
-        """Ask the router to decide events, and return its decisions in that order.
-
-        Decided events leave the queues. An event for which the router raises an exception is returned with
-        that exception, so that it does not hold up the others.
-        """
+        """Ask the router to decide events, and return its decisions in that order."""
+        # Decided events leave the queues. An event for which the router raises an exception is returned with
+        # that exception, so that it does not hold up the others.
         self._handle_due_events(now)
         self._enqueue_next_in_order(now)
         for group in self.group_timers.pop_due(now):
@@ -131,7 +128,7 @@
         return decided
 
     def _enqueue(self, event: Event, now: float) -> None:
-        """Put an event into its group, unless its ordering key is paused or has earlier events."""
+        # Put an event into its group, unless its ordering key is paused or has earlier events.
         may_send_at = self.router.ordering_ready_at(event, now)
         if may_send_at > now:
             if may_send_at < math.inf:
@@ -147,7 +144,7 @@
         self.group_of[event] = group
 
     def _leave_group(self, event: Event) -> None:
-        """Take an event out of its group, and remove the group when it becomes empty."""
+        # Take an event out of its group, and remove the group when it becomes empty.
         group = self.group_of.get(event)
         if group is None:
             return
@@ -166,7 +163,7 @@
         self._ready.pop(group, None)
 
     def _handle_due_events(self, now: float) -> None:
-        """Decide events at their deadline, and enqueue events whose ordering key's pause is over."""
+        # Decide events at their deadline, and enqueue events whose ordering key's pause is over.
         for event, is_deadline in self.event_timers.pop_due(now):
             if not is_deadline:
                 if self.group_of[event] is None:
@@ -183,7 +180,7 @@
         self._unblocked_ordering_keys.clear()
 
     def _decide(self, event: Event, now: float) -> Send | Reject | Abandon | Defer | Exception:
-        """Ask the router to decide one event; unless it is deferred, the event leaves the queues."""
+        # Ask the router to decide one event; unless it is deferred, the event leaves the queues.
         decision: Send | Reject | Abandon | Defer | Exception
         try:
             decision = self.router.decide(event, now)
@@ -195,7 +192,7 @@
         return decision
 
     def _shed_load(self, now: float) -> None:
-        """Let the router reject the least urgent events of the longest queues until it is within capacity."""
+        # Let the router reject the least urgent events of the longest queues until it is within capacity.
         for destination in sorted(
             self.groups_by_destination, key=lambda destination: -destination.pending_count
         ):
@@ -210,7 +207,7 @@
                 return
 
     def _decide_ready_groups(self, now: float) -> None:
-        """Decide the most urgent event of all ready groups repeatedly, until each is deferred or empty."""
+        # Decide the most urgent event of all ready groups repeatedly, until each is deferred or empty.
         ready = self._ready
         self._ready = {}
         heads: list[GroupHead] = []
@@ -234,7 +231,7 @@
             self._push_head(group, now, heads)
 
     def _push_head(self, group: QueueGroup, now: float, heads: list[GroupHead]) -> None:
-        """Add a group's most urgent event to `heads`, if the group has any event that may be sent now."""
+        # Add a group's most urgent event to `heads`, if the group has any event that may be sent now.
         while True:
             group.sort_if_due(now, self._next_sequence_number)
             event = group.next_event()
@@ -250,10 +247,8 @@
             self._enqueue(event, now)
 
     def _defer(self, group: QueueGroup, event: Event, now: float) -> None:
-        """Let a group wait after its most urgent event was deferred.
-
-        It waits until the time of the next check, or until an outcome makes it ready earlier.
-        """
+        # Let a group wait after its most urgent event was deferred. It waits until the time of the next
+        # check, or until an outcome makes it ready earlier.
         next_check = self.router.next_check(event, now)
         group.deferred_until = next_check.at
         if next_check.or_after_outcome and self.router.slots_are_scarce():
--- a/swiftthread/service/queue_group.py
+++ b/swiftthread/service/queue_group.py
@@ -26,18 +26,10 @@
 
 
 class QueueGroup:
-    """Pending events of one destination and queue class, sorted by urgency.
+    """Pending events of one destination and queue class, sorted by urgency."""
 
-    When an event that is not the most urgent one leaves, its entry stays as an obsolete entry, which is
-    skipped. The event may be added again with a new entry, and must not be decided through both.
-
-    Attributes:
-        key: Destination and queue class.
-        destination: Where the events go.
-        entries: Sorted entries, including obsolete ones; the most urgent is the last.
-        deferred_until: Time (ms) until which the router defers the events; -inf at the start.
-        timer_at: Time (ms) at which the group's timer is due; inf when none is set.
-    """
+    # When an event that is not the most urgent one leaves, its entry stays as an obsolete entry, which is
+    # skipped. The event may be added again with a new entry, and must not be decided through both.
 
     __slots__ = (
         "key",
@@ -55,10 +47,15 @@
         self, key: tuple[Hashable, ...], destination: Destination, router: Router, now: float
     ) -> None:
         self.key = key
+        """Destination and queue class."""
         self.destination = destination
+        """Where the events go."""
         self.entries: list[QueueEntry] = []
+        """Sorted entries, including obsolete ones; the most urgent is the last."""
         self.deferred_until = -math.inf
+        """Time (ms) until which the router defers the events; -inf at the start."""
         self.timer_at = math.inf
+        """Time (ms) at which the group's timer is due; inf when none is set."""
         self._current_entries: dict[Event, QueueEntry] = {}
         self._router = router
         self._sorted_at = now
@@ -82,7 +79,8 @@
             self.entries = []
 
     def next_event(self) -> Event | None:
-        """Returns the most urgent event, or None for an empty group; drops obsolete entries before it."""
+        """Returns the most urgent event, or None for an empty group."""
+        # Obsolete entries before it are dropped.
         entries = self.entries
         while entries and not self.is_current(entries[-1]):
             entries.pop()
@@ -95,10 +93,8 @@
                 yield entry[EVENT]
 
     def rank(self, event: Event, now: float) -> tuple[float, float]:
-        """Returns the rank of an event at `now`; lower ranks are decided first.
-
-        It uses the ranking horizon of the destination as it was at the last sort.
-        """
+        """Returns the rank of an event at `now`; lower ranks are decided first."""
+        # It uses the ranking horizon of the destination as it was at the last sort.
         return self._router.urgency_rank(event, self._horizon_ms, now)
 
     def sort_if_due(self, now: float, next_sequence_number: Iterator[int]) -> None:
--- a/swiftthread/service/queue_timers.py
+++ b/swiftthread/service/queue_timers.py
@@ -15,12 +15,13 @@
 
 
 class EventTimer:
-    """A timer in the heap of `EventTimers`; its `event` is None once the event has left."""
+    """A timer in the heap of `EventTimers`."""
 
     __slots__ = ("event",)
 
     def __init__(self, event: Event) -> None:
         self.event: Event | None = event
+        """The event of the timer; None once the event has left."""
 
 
 class DueEvent(NamedTuple):
@@ -32,21 +33,19 @@
 
 
 class EventTimers:
-    """Timers for the deadlines of pending events, and for the ends of pauses that ordered events wait for.
-
-    Attributes:
-        deadlines: Pending event -> the timer of its deadline; an entry is removed when its event leaves.
-        heap: Tuples of (due time in ms, sequence number, timer); a tuple is removed once it is due.
-    """
+    """Timers for the deadlines of pending events, and for the ends of pauses that ordered events wait for."""
 
     def __init__(self) -> None:
         self.deadlines: dict[Event, EventTimer] = {}
+        """Pending event -> the timer of its deadline; an entry is removed when its event leaves."""
         self.heap: list[tuple[float, int, EventTimer]] = []
+        """Tuples of (due time in ms, sequence number, timer); a tuple is removed once it is due."""
         self._next_sequence_number = count()
         self._stale_count = 0
 
     def set_deadline(self, event: Event, at: float) -> None:
-        """Start the timer of an event's deadline; an earlier timer of it no longer has an effect."""
+        """Start the timer of an event's deadline."""
+        # An earlier timer of it no longer has an effect.
         self.deadlines[event] = self._start(event, at)
 
     def start_pause(self, event: Event, until: float) -> None:
@@ -54,7 +53,8 @@
         self._start(event, until)
 
     def cancel(self, event: Event) -> None:
-        """Forget an event that leaves, so that its body does not stay in memory for its whole max age."""
+        """Forget an event that leaves."""
+        # It is forgotten so that its body does not stay in memory for its whole max age.
         timer = self.deadlines.pop(event, None)
         if timer is None:
             return
@@ -91,17 +91,14 @@
 
 
 class GroupTimers:
-    """Timers for the times until which groups are deferred.
-
-    Each group has one effective timer, due at that time or earlier. No new timer starts when the time moves
-    to a later one, because outcomes can move it many times a second.
+    """Timers for the times until which groups are deferred."""
 
-    Attributes:
-        heap: Tuples of (due time in ms, sequence number, group); a tuple is removed once it is due.
-    """
+    # Each group has one effective timer, due at that time or earlier. No new timer starts when the time moves
+    # to a later one, because outcomes can move it many times a second.
 
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, QueueGroup]] = []
+        """Tuples of (due time in ms, sequence number, group); a tuple is removed once it is due."""
         self._next_sequence_number = count()
 
     def start(self, group: QueueGroup) -> None:
@@ -115,10 +112,8 @@
         return self.heap[0][0] if self.heap else math.inf
 
     def pop_due(self, now: float) -> Iterator[QueueGroup]:
-        """Remove and yield the groups that are deferred no longer.
-
-        A group that was deferred further since its timer started gets a new timer instead.
-        """
+        """Remove and yield the groups that are deferred no longer."""
+        # A group that was deferred further since its timer started gets a new timer instead.
         while self.heap and self.heap[0][0] <= now:
             due_at, _, group = heapq.heappop(self.heap)
             if group.timer_at != due_at or not len(group):
--- a/swiftthread/service/scheduler.py
+++ b/swiftthread/service/scheduler.py
@@ -1,7 +1,6 @@
-"""The scheduling cycles of a node: when the router decides events and receives their outcomes.
+"""The scheduling cycles of a node: when the router decides events and receives their outcomes."""
 
-The module `pending_queues` chooses which events the router is asked to decide, and in which order.
-"""
+# The module `pending_queues` chooses which events the router is asked to decide, and in which order.
 
 import math
 from collections.abc import Callable
@@ -49,18 +48,15 @@
 
 
 class Scheduler:
-    """Runs a scheduling cycle whenever an event can be decided or an outcome can be recorded.
+    """Runs a scheduling cycle whenever an event can be decided or an outcome can be recorded."""
 
-    Two cycles are at least `scheduling_interval_ms` apart.
-
-    Attributes:
-        scheduling_interval_ms: Pause between two scheduling cycles.
-        is_sending: Cleared by the shutdown: outcomes are still recorded, but no further event is decided.
-    """
+    # Two cycles are at least `scheduling_interval_ms` apart.
 
     def __init__(self, router: Router, clock: Clock, scheduling_interval_ms: float) -> None:
         self.scheduling_interval_ms = scheduling_interval_ms
+        """Pause between two scheduling cycles."""
         self.is_sending = True
+        """Cleared by the shutdown: outcomes are still recorded, but no further event is decided."""
         self._router = router
         self._clock = clock
         self._queues = PendingQueues(router)
@@ -133,7 +129,7 @@
             delay_ms = self._clock() - pause_began_at - self.scheduling_interval_ms
 
     async def _sleep(self) -> None:
-        """Wait until a scheduling cycle is due or requested."""
+        # Wait until a scheduling cycle is due or requested.
         self._wakeup = anyio.Event()
         now = self._clock()
         until = min(self._queues.next_wakeup_at(), self._router.next_wakeup_at(now))
@@ -147,7 +143,7 @@
         self._sleeping_until = -math.inf
 
     async def _run_cycle(self, now: float) -> int:
-        """Let waiting tasks update the router, then decide events; returns how many were decided."""
+        # Let waiting tasks update the router, then decide events; returns how many were decided.
         waiters = self._cycle_waiters
         self._cycle_waiters = []
         for waiter in waiters:
@@ -164,7 +160,7 @@
         return len(decisions)
 
     def _deliver_decision(self, event_decision: EventDecision) -> None:
-        """Pass a decision on to the task that waits for it."""
+        # Pass a decision on to the task that waits for it.
         event, decision = event_decision
         waiter = self._decision_waiters.pop(event, None)
         if waiter is None:  # an internal error; the other decisions of this cycle are still delivered
--- a/swiftthread/service/shutdown.py
+++ b/swiftthread/service/shutdown.py
@@ -29,11 +29,9 @@
 
 
 async def _shut_down(node: Node, listener: socket.socket) -> None:
-    """Finish the connections of clients and the attempts, then cancel the node's tasks.
-
-    Events that are still pending stay in the log. An event whose submission crosses the beginning of the
-    shutdown is accepted if it can still be sent.
-    """
+    # Finish the connections of clients and the attempts, then cancel the node's tasks. Events that are still
+    # pending stay in the log. An event whose submission crosses the beginning of the shutdown is accepted if
+    # it can still be sent.
     began_at = monotonic_ms()
     logger.info("stopping; {} events are pending", len(node.log.pending))
     node.server.begin_shutdown()
@@ -51,7 +49,7 @@
 
 
 def _has_work(node: Node) -> bool:
-    """Returns whether events can still be sent or acked, or clients still wait for a response."""
+    # Returns whether events can still be sent or acked, or clients still wait for a response.
     if node.scheduler.is_sending:
         has_unfinished_events = bool(node.log.pending)
     else:
--- a/swiftthread/service/startup.py
+++ b/swiftthread/service/startup.py
@@ -20,12 +20,10 @@
 
 
 async def serve(config: NodeConfig) -> None:
-    """Run one node; SIGTERM and SIGINT shut it down in the time before SIGKILL, SIGHUP reloads.
-
-    The caller has blocked `SIGNALS`. They are unblocked once this function receives them, and blocked again
-    when it no longer does. Therefore a signal that arrives while the log is read, or a second one during the
-    exit, does not kill the process in the middle of an operation.
-    """
+    """Run one node; SIGTERM and SIGINT shut it down in the time before SIGKILL, SIGHUP reloads."""
+    # The caller has blocked `SIGNALS`. They are unblocked once this function receives them, and blocked again
+    # when it no longer does. Therefore a signal that arrives while the log is read, or a second one during
+    # the exit, does not kill the process in the middle of an operation.
     with anyio.open_signal_receiver(*SIGNALS) as signals:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
         try:
@@ -67,7 +65,7 @@
 
 
 def _report_damage(log: WriteAheadLog) -> None:
-    """Report the parts of the write-ahead log that could not be read."""
+    # Report the parts of the write-ahead log that could not be read.
     if log.torn_bytes:
         logger.warning(
             "the last record of the write-ahead log is incomplete; its {} bytes were removed", log.torn_bytes
--- a/swiftthread/service/submissions.py
+++ b/swiftthread/service/submissions.py
@@ -25,13 +25,7 @@
 
 
 class SubmissionHandler:
-    """Decides for each submitted event whether the node accepts it, and starts its delivery.
-
-    Attributes:
-        sends_until: Time (ms, monotonic) after which no attempt starts; inf until a shutdown begins. An
-            event is rejected if its queue would drain only after that time.
-        is_closed: Set by the shutdown: no event is accepted any longer.
-    """
+    """Decides for each submitted event whether the node accepts it, and starts its delivery."""
 
     def __init__(
         self,
@@ -47,7 +41,11 @@
         log_clock: Clock,
     ) -> None:
         self.sends_until = math.inf
+        """Time (ms, monotonic) after which no attempt starts; inf until a shutdown begins. An event is
+        rejected if its queue would drain only after that time.
+        """
         self.is_closed = False
+        """Set by the shutdown: no event is accepted any longer."""
         self._router = router
         self._log = log
         self._delivery = delivery
@@ -61,10 +59,8 @@
         self._log_clock = log_clock
 
     def admit(self, pending: PendingEvent) -> AdmissionResult:
-        """Accept or reject one submission.
-
-        The delivery of an accepted event starts once the response was sent or the client disconnected.
-        """
+        """Accept or reject one submission."""
+        # The delivery of an accepted event starts once the response was sent or the client disconnected.
         result, outcome = self._admit(pending)
         self._activity.submissions[outcome] += 1
         return result
@@ -97,10 +93,8 @@
     def _reason_to_reject(
         self, pending: PendingEvent, destination: Destination | None, now: float
     ) -> AdmissionOutcome | None:
-        """Returns why the event cannot be stored, or not be sent before a shutdown ends the attempts.
-
-        None if it can be both.
-        """
+        # Returns why the event cannot be stored, or not be sent before a shutdown ends the attempts. Returns
+        # None if it can be both.
         if len(self._log.pending) >= self._max_pending_events:
             return AdmissionOutcome.TOO_MANY_EVENTS
         if self._delivery.pending_bytes + len(pending.body) > self._max_pending_bytes:
