--- a/swiftthread/network/buffer_pool.py
+++ b/swiftthread/network/buffer_pool.py
@@ -1,4 +1,6 @@
-"""Reusable receive buffers of one size, each borrowed for a single read."""
+"""Reusable receive buffers of one size."""
+
+# Each is borrowed for a single read.
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -8,11 +10,10 @@
 
 
 class BufferPool:
-    """Holds the receive buffers that are not in use.
+    """Holds the receive buffers that are not in use."""
 
-    A buffer is borrowed only while bytes are passed from the socket to the parser. The pool therefore creates
-    no more buffers than are borrowed at the same time.
-    """
+    # A buffer is borrowed only while bytes are passed from the socket to the parser. The pool therefore
+    # creates no more buffers than are borrowed at the same time.
 
     def __init__(self) -> None:
         self.free_buffers: list[memoryview] = []
--- a/swiftthread/network/connection.py
+++ b/swiftthread/network/connection.py
@@ -1,4 +1,6 @@
-"""TCP connections without a library's buffers in between, so that the bytes written are known exactly."""
+"""TCP connections without a library's buffers in between."""
+
+# The bytes written are therefore known exactly.
 
 import contextlib
 import errno
@@ -31,28 +33,20 @@
 
 
 class ConnectionClosed(Exception):
-    """The connection has closed, or could not be established.
-
-    Attributes:
-        request_was_written: Whether the kernel had accepted all bytes of the last message.
-        was_refused: Whether the peer's host refused the connection (ECONNREFUSED).
-    """
+    """The connection has closed, or could not be established."""
 
     def __init__(self, request_was_written: bool, was_refused: bool = False) -> None:
         super().__init__("the connection has closed or could not be established")
         self.request_was_written = request_was_written
+        """Whether the kernel had accepted all bytes of the last message."""
         self.was_refused = was_refused
+        """Whether the peer's host refused the connection (ECONNREFUSED)."""
 
 
 class Connection:
-    """A connected socket and its HTTP parser. The caller that opens or accepts a connection closes it.
+    """A connected socket and its HTTP parser."""
 
-    Attributes:
-        idle_since: When the connection was last released to a pool, on the pool's clock; None until its first
-            release.
-        received_at: Monotonic ms at which the kernel received the bytes that were read last; None if the
-            kernel gave no timestamp.
-    """
+    # The caller that opens or accepts a connection closes it.
 
     def __init__(self, sock: socket.socket, buffers: BufferPool, parser: h11.Connection) -> None:
         sock.setblocking(False)
@@ -61,14 +55,19 @@
         self.buffers = buffers
         self.parser = parser
         self.idle_since: float | None = None
+        """When the connection was last released to a pool, on the pool's clock; None until its first
+        release."""
         self.received_at: float | None = None
+        """Monotonic ms at which the kernel received the bytes that were read last; None if the kernel gave no
+        timestamp."""
         # Monotonic ms. Bytes that are read later arrived after this time. The first bytes may have arrived
         # while the connection waited to be accepted, so the initial value lies in the past.
         self._last_read_at = monotonic_ms() - MAX_ACCEPT_DELAY_MS
 
     def enable_timestamps(self) -> Self:
-        """Set `received_at` on each read from now on, to distinguish late reads from late arrivals."""
-        # Without kernel support, delays of this process count as delays of the peer.
+        """Set `received_at` on each read from now on."""
+        # This distinguishes late reads from late arrivals. Without kernel support, delays of this process
+        # count as delays of the peer.
         with contextlib.suppress(OSError):
             timestamps.enable_timestamps(self.socket)
         return self
@@ -134,7 +133,8 @@
             raise ConnectionClosed(request_was_written=True) from None
 
     def has_nothing_to_read(self) -> bool:
-        """Return whether nothing has arrived since the last read, neither bytes nor the peer's close."""
+        """Return whether nothing has arrived since the last read."""
+        # Both bytes and the peer's close count as an arrival.
         try:
             self.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -144,7 +144,8 @@
         return False
 
     def peer_has_closed(self) -> bool:
-        """Return whether the peer has closed, even if bytes that it sent are still unread."""
+        """Return whether the peer has closed."""
+        # The result is True even if bytes that it sent are still unread.
         try:
             state = self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
         except OSError:
@@ -159,17 +160,17 @@
             return True
 
     def shutdown_write(self) -> None:
-        """Shut down the sending side. A task that waits to read wakes up with ConnectionClosed."""
-        # The peer may have closed or reset the connection already.
+        """Shut down the sending side."""
+        # A task that waits to read wakes up with ConnectionClosed. The peer may have closed or reset the
+        # connection already.
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
         anyio.notify_closing(self.socket)
 
     async def shutdown_and_drain(self, timeout_ms: float) -> None:
-        """Shut down the sending side, and discard input until the peer closes too or the timeout expires.
-
-        Closing the socket with unread bytes would send a reset, which may overtake the response.
-        """
+        """Shut down the sending side, and discard input."""
+        # Input is discarded until the peer closes too or the timeout expires. Closing the socket with unread
+        # bytes would send a reset, which may overtake the response.
         with anyio.move_on_after(timeout_ms / 1000.0), contextlib.suppress(OSError, ConnectionClosed):
             self.socket.shutdown(socket.SHUT_WR)
             while True:
@@ -178,11 +179,8 @@
                     return
 
     def _discard_available(self) -> bool:
-        """Read and discard what has arrived, many buffers at once, because a wait costs more than a read.
-
-        Returns:
-            Whether the peer has closed its side.
-        """
+        # Read and discard what has arrived, many buffers at once, because a wait costs more than a read.
+        # Return whether the peer has closed its side.
         with self.buffers.borrow() as buffer:
             for _ in range(MAX_DISCARDED_READS_PER_WAKEUP):
                 try:
@@ -193,14 +191,16 @@
         return False
 
     def close(self) -> None:
-        """Close the socket. A task that waits for it wakes up with ConnectionClosed."""
+        """Close the socket."""
+        # A task that waits for it wakes up with ConnectionClosed.
         if self.socket.fileno() >= 0:
             anyio.notify_closing(self.socket)
             self.socket.close()
 
     def reset(self) -> None:
-        """Close the socket and discard undelivered bytes; the kernel would retry them for minutes."""
-        # If the connection has closed already, an ordinary close is enough.
+        """Close the socket and discard undelivered bytes."""
+        # The kernel would retry them for minutes. If the connection has closed already, an ordinary close is
+        # enough.
         with contextlib.suppress(OSError):
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         self.close()
--- a/swiftthread/network/connection_pool.py
+++ b/swiftthread/network/connection_pool.py
@@ -1,4 +1,6 @@
-"""Pool of idle connections to endpoints, for reuse by later calls."""
+"""Pool of idle connections to endpoints."""
+
+# Later calls reuse them.
 
 from collections import deque
 from collections.abc import Callable
@@ -9,7 +11,9 @@
 
 
 class PoolKey(NamedTuple):
-    """Endpoint and address of a connection; both, because an address can pass to another endpoint."""
+    """Endpoint and address of a connection."""
+
+    # Both are needed, because an address can pass to another endpoint.
 
     endpoint_id: str | int
     address: Address | None
@@ -17,10 +21,10 @@
 
 
 class ConnectionPool:
-    """Holds the idle connections.
+    """Holds the idle connections."""
 
-    A connection is not in the pool while a call uses it. After the call it is released to the pool or closed.
-    """
+    # A connection is not in the pool while a call uses it. After the call it is released to the pool or
+    # closed.
 
     def __init__(self, clock: Callable[[], float], max_idle_ms: float, max_connections: int) -> None:
         self.clock = clock
@@ -60,7 +64,8 @@
             self.close_idle(key)
 
     def close_expired(self) -> None:
-        """Close connections idle for so long that the endpoint may close them with a call in flight."""
+        """Close connections idle for `max_idle_ms` or longer."""
+        # The endpoint may close such connections with a call in flight.
         expired_since = self.clock() - self.max_idle_ms
         for key in list(self.idle):
             while key in self.idle and self._oldest_idle_since(key) <= expired_since:
--- a/swiftthread/network/timestamps.py
+++ b/swiftthread/network/timestamps.py
@@ -1,4 +1,6 @@
-"""Receive timestamps of the Linux kernel: when bytes arrived, however late they are read."""
+"""Receive timestamps of the Linux kernel."""
+
+# They say when bytes arrived, however late they are read.
 
 import socket
 import struct
@@ -28,16 +30,15 @@
 ) -> float | None:
     """Return the monotonic ms at which the bytes of a read arrived; None if the kernel gave no timestamp.
 
-    The age of the bytes is the difference between the current wall clock and the kernel's timestamp. If the
-    wall clock was stepped in between, this difference is arbitrary. The result is therefore limited to the
-    range from `not_before` to `monotonic_now`.
-
     Args:
         ancillary_data: Control messages that came with the read.
-        monotonic_now: Current time in monotonic ms.
-        wall_now: Current time in Unix ms.
-        not_before: Time in monotonic ms before which the bytes cannot have arrived.
+        monotonic_now: Monotonic ms.
+        wall_now: Unix ms.
+        not_before: Monotonic ms before which the bytes cannot have arrived.
     """
+    # The age of the bytes is the difference between the current wall clock and the kernel's timestamp. If the
+    # wall clock was stepped in between, this difference is arbitrary. The result is therefore limited to the
+    # range from `not_before` to `monotonic_now`.
     timestamp = _timestamp_ms(ancillary_data)
     if timestamp is None:
         return None
@@ -45,7 +46,7 @@
 
 
 def _timestamp_ms(ancillary_data: AncillaryData) -> float | None:
-    """Return the kernel's timestamp in Unix ms; None if there is none."""
+    # Return the kernel's timestamp in Unix ms; None if there is none.
     timestamp = None
     for level, kind, data in ancillary_data:
         if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(data) == TIMESPEC.size:
--- a/swiftthread/server/admission_queue.py
+++ b/swiftthread/server/admission_queue.py
@@ -1,4 +1,6 @@
-"""Queue of connections whose next request stays unread until the node has capacity for it."""
+"""Queue of connections whose next request stays unread."""
+
+# It stays unread until the node has capacity for it.
 
 from collections import deque
 from collections.abc import Callable
@@ -42,12 +44,8 @@
     """Holds the waiting connections, the longest waiting first."""
 
     def __init__(self, admission: AdmissionPolicy, request_cycle: Callable[[], None]) -> None:
-        """Create an empty queue.
-
-        Args:
-            admission: Limits how many requests may be read.
-            request_cycle: Requests a scheduling cycle, during which `admit_waiting` is called.
-        """
+        # Create an empty queue. `admission` limits how many requests may be read. `request_cycle` requests a
+        # scheduling cycle, during which `admit_waiting` is called.
         self._admission = admission
         self._request_cycle = request_cycle
         self._waiting: deque[WaitingConnection] = deque()
@@ -75,12 +73,10 @@
             raise ConnectionClosed(request_was_written=True)
 
     def admit_waiting(self) -> None:
-        """Admit as many waiting connections as may be read in this scheduling cycle.
-
-        The longest waiting connection is admitted first. Once its client is about to give up, the newest is
-        admitted first instead: in order of arrival, every request would be read just too late. Connections
-        whose clients have given up are removed unread.
-        """
+        """Admit as many waiting connections as may be read in this scheduling cycle."""
+        # The longest waiting connection is admitted first. Once its client is about to give up, the newest is
+        # admitted first instead: in order of arrival, every request would be read just too late. Connections
+        # whose clients have given up are removed unread.
         now = anyio.current_time()
         self._remove_given_up(now)
         while self._waiting and self._admission.try_admit():
--- a/swiftthread/server/connection_table.py
+++ b/swiftthread/server/connection_table.py
@@ -1,4 +1,6 @@
-"""Accepted connections by state, and the choice of the one to evict for the next. Nothing here waits."""
+"""Accepted connections by state."""
+
+# The one to evict for the next is chosen here too. Nothing here waits.
 
 import math
 from collections.abc import ItemsView
@@ -15,7 +17,9 @@
 
 
 class ConnectionState(IntEnum):
-    """State of an accepted connection. Connections are evicted in the order of these values."""
+    """State of an accepted connection."""
+
+    # Connections are evicted in the order of these values.
 
     CLOSING = 0
     """The node has shut down its side or is about to; bytes that still arrive are read and discarded."""
@@ -58,7 +62,8 @@
         return self._entered_at[state].items()
 
     def inactive(self) -> list[tuple[Connection, float]]:
-        """Return the connections without a request in progress, and when each entered its state."""
+        """Return the connections without a request in progress."""
+        # Each is returned with the time at which it entered its state.
         return [entry for state in INACTIVE_STATES for entry in self._entered_at[state].items()]
 
     def add(self, connection: Connection) -> None:
@@ -81,11 +86,10 @@
             connection.close()
 
     def begin_close(self, connection: Connection) -> None:
-        """Shut down the node's side of an inactive connection; its task then waits for the client to close.
-
-        The client may have written a request in the meantime. It is not accepted, because its response could
-        no longer be sent, and the client may submit it elsewhere.
-        """
+        """Shut down the node's side of an inactive connection."""
+        # The connection's task then waits for the client to close. The client may have written a request in
+        # the meantime. It is not accepted, because its response could no longer be sent, and the client may
+        # submit it elsewhere.
         self.set_state(connection, ConnectionState.CLOSING)
         connection.shutdown_write()
 
@@ -93,8 +97,8 @@
         """Begin to close all inactive connections on which nothing has arrived.
 
         Args:
-            new_accepted_by: Connections in state NEW are closed only if they were accepted no later than this
-                time, in s on the event loop's clock.
+            new_accepted_by: In s on the event loop's clock; connections in state NEW that were accepted
+                later stay open.
         """
         for connection, entered_at in self.inactive():
             if connection.has_nothing_to_read() and (
@@ -107,11 +111,12 @@
         return not all(connection.has_nothing_to_read() for connection, _ in self.inactive())
 
     def evict_one(self) -> bool:
-        """Close a connection, or begin to close one on which no request has arrived, to free capacity.
+        """Evict a connection to free capacity.
 
         Returns:
-            Whether there was a connection that could be evicted.
+            Whether a connection could be evicted.
         """
+        # A connection is closed, or the close of one begins on which no request has arrived.
         return any(self._evict_from(state) for state in ConnectionState)
 
     def _evict_from(self, state: ConnectionState) -> bool:
--- a/swiftthread/server/http_server.py
+++ b/swiftthread/server/http_server.py
@@ -1,4 +1,6 @@
-"""HTTP server: accepts clients and serves the requests of each connection one after the other."""
+"""HTTP server: accepts clients and serves their requests."""
+
+# The requests of each connection are served one after the other.
 
 import contextlib
 import math
@@ -65,21 +67,15 @@
         admission: AdmissionPolicy,
         request_cycle: Callable[[], None],
     ) -> None:
-        """Create a server; `serve` runs it.
-
-        Args:
-            admit: Decides whether the node accepts an event, and returns the result for its client.
-            stream_types: Names of the stream types that the node serves.
-            buffers: Receive buffers.
-            limits: Limits on the number of client connections.
-            log_clock: Returns the time in ms on the clock of the write-ahead log.
-            first_request_timeout_ms: Longest time from the accept to the last byte of a connection's first
-                request.
-            request_timeout_ms: Longest time from the first byte of a request to its last byte.
-            idle_timeout_ms: Longest time from a response to the first byte of the next request.
-            admission: Limits how many requests may be read.
-            request_cycle: Requests a scheduling cycle, during which the caller must call `admit_waiting`.
-        """
+        # Create a server; `serve` runs it. `admit` decides whether the node accepts an event, and returns the
+        # result for its client. `stream_types` are the names of the stream types that the node serves.
+        # `buffers` are the receive buffers. `limits` are the limits on the number of client connections.
+        # `log_clock` returns the time in ms on the clock of the write-ahead log. `first_request_timeout_ms`
+        # is the longest time from the accept to the last byte of a connection's first request.
+        # `request_timeout_ms` is the longest time from the first byte of a request to its last byte.
+        # `idle_timeout_ms` is the longest time from a response to the first byte of the next request.
+        # `admission` limits how many requests may be read. `request_cycle` requests a scheduling cycle,
+        # during which the caller must call `admit_waiting`.
         self.limits = limits
         self.connections = ConnectionTable()
         self.is_shutting_down = False  # once True, each response closes its connection
@@ -98,12 +94,8 @@
         )
 
     async def serve(self, listener: socket.socket, tasks: TaskGroup) -> None:
-        """Accept clients until the task is cancelled or the listener is closed.
-
-        Args:
-            listener: Listening socket to which clients connect.
-            tasks: Task group that runs one task for each connection.
-        """
+        """Accept clients until the task is cancelled or the listener is closed."""
+        # Clients connect to the listening socket `listener`. `tasks` runs one task for each connection.
         while True:
             try:
                 await self._wait_for_capacity()
@@ -129,15 +121,15 @@
         self._admission_queue.admit_waiting()
 
     def begin_shutdown(self) -> None:
-        """Begin the shutdown: close connections between requests now, the others with their next response.
-
-        Connections accepted less than NEW_GRACE_S ago stay open, because their request may be on its way.
-        """
+        """Begin the shutdown."""
+        # Connections between requests are closed now, the others with their next response. Connections
+        # accepted less than NEW_GRACE_S ago stay open, because their request may be on its way.
         self.is_shutting_down = True
         self.connections.begin_close_of_inactive(anyio.current_time() - NEW_GRACE_S)
 
     def has_pending_responses(self) -> bool:
-        """Return whether any client waits for a response to a request, read or still unread."""
+        """Return whether any client waits for a response to a request."""
+        # The request may be read or still unread.
         return bool(
             self.connections.count(ConnectionState.IN_REQUEST)
             or self._admission_queue
@@ -145,11 +137,10 @@
         )
 
     async def finish_shutdown(self, listener: socket.socket, tasks: TaskGroup) -> None:
-        """Finish the shutdown: close the listener, answer the requests received, and close all connections.
-
-        Closing a socket with unread bytes sends a reset, which may overtake a response. Each connection
-        therefore gets time for its request to be read and answered.
-        """
+        """Finish the shutdown."""
+        # The listener is closed, the requests received are answered, and all connections are closed. Closing
+        # a socket with unread bytes sends a reset, which may overtake a response. Each connection therefore
+        # gets time for its request to be read and answered.
         with contextlib.suppress(OSError):  # raised once no connection waits to be accepted
             while True:
                 self._accept(listener, tasks)
@@ -169,23 +160,22 @@
         tasks.start_soon(self._serve_client, connection)
 
     async def _wait_for_capacity(self) -> None:
-        """Wait until one more connection may be open; meanwhile new clients wait in the listen backlog."""
+        # Wait until one more connection may be open; meanwhile new clients wait in the listen backlog.
         while len(self.connections) >= self.limits.max_clients:
             if not self.connections.evict_one():
                 await anyio.sleep(CAPACITY_POLL_INTERVAL_S)
 
     def _is_at_idle_limit(self) -> bool:
-        """Return whether the connections that stay open between requests have reached their limit.
-
-        Without this limit, clients that send one request and stay connected would hold all connections that
-        clients may have open, and none of them could send another request.
-        """
+        # Return whether the connections that stay open between requests have reached their limit.
+        #
+        # Without this limit, clients that send one request and stay connected would hold all connections that
+        # clients may have open, and none of them could send another request.
         idle_count = self.connections.count(ConnectionState.IDLE_CLIENT)
         idle_count += self.connections.count(ConnectionState.IDLE_WITHOUT_EVENT)
         return idle_count >= self.limits.max_idle_clients
 
     async def _serve_client(self, connection: Connection) -> None:
-        """Serve a connection until it closes or fails; the connection is closed in every case."""
+        # Serve a connection until it closes or fails; the connection is closed in every case.
         try:
             await self._serve_requests(connection)
         except ConnectionClosed:  # closed by the client, timed out, or closed by the node between requests
@@ -197,7 +187,7 @@
             self.connections.close(connection)
 
     async def _serve_requests(self, connection: Connection) -> None:
-        """Read and answer requests until one of them closes the connection."""
+        # Read and answer requests until one of them closes the connection.
         is_first = True
         idle_state = ConnectionState.IDLE_WITHOUT_EVENT
         while True:
@@ -221,11 +211,8 @@
             await checkpoint()  # so that pipelined requests do not hold up the other connections
 
     def _handle(self, request: Request) -> AdmissionResult:
-        """Return the result with which a request is answered.
-
-        Raises:
-            BadRequest: The request is answered with an error status, after which its connection is closed.
-        """
+        # Return the result with which a request is answered. BadRequest is raised if the request is answered
+        # with an error status, after which its connection is closed.
         if request.is_health_check():
             return AdmissionResult(HttpStatus.SERVICE_UNAVAILABLE if self.is_shutting_down else HttpStatus.OK)
         result = self._admit(parse_submission(request, self._stream_types))
@@ -242,13 +229,13 @@
                 result.on_response_finished()
 
     async def _close_gracefully(self, connection: Connection, timeout_ms: float) -> None:
-        """Shut down the node's side and wait for the client to close; bytes that arrive are discarded."""
+        # Shut down the node's side and wait for the client to close; bytes that arrive are discarded.
         self.connections.set_state(connection, ConnectionState.CLOSING)
         await connection.shutdown_and_drain(timeout_ms)
 
 
 async def _wait_for_client(listener: socket.socket) -> bool:
-    """Wait until a client connects; return False once the listener is closed."""
+    # Wait until a client connects; return False once the listener is closed.
     try:
         await anyio.wait_readable(listener)
     except (anyio.ClosedResourceError, OSError, ValueError):
--- a/swiftthread/server/http_status.py
+++ b/swiftthread/server/http_status.py
@@ -1,8 +1,7 @@
-"""HTTP statuses of the server's responses.
+"""HTTP statuses of the server's responses."""
 
-The standard library's `http` module defines them too, and 60 more, but takes 250 KB of the memory that a node
-may use.
-"""
+# The standard library's `http` module defines them too, and 60 more, but takes 250 KB of the memory that a
+# node may use.
 
 from enum import IntEnum
 
--- a/swiftthread/server/messages.py
+++ b/swiftthread/server/messages.py
@@ -1,11 +1,15 @@
-"""Messages about a request, exchanged by the parts of the server and the node behind it."""
+"""Messages about a request."""
+
+# They are exchanged by the parts of the server and the node behind it.
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 
 class AdmissionResult(NamedTuple):
-    """Result of one submission, with which its client is answered."""
+    """Result of one submission."""
+
+    # The client of the submission is answered with it.
 
     status: int
     """HTTP status of the response.
@@ -20,12 +24,11 @@
 
 
 class BadRequest(Exception):
-    """A request must be answered with an error status; its connection is closed afterwards.
+    """A request must be answered with an error status."""
 
-    Attributes:
-        status: HTTP status of the response.
-    """
+    # The connection of the request is closed afterwards.
 
     def __init__(self, status: int) -> None:
         super().__init__(f"the request is rejected with HTTP status {status}")
         self.status = status
+        """HTTP status of the response."""
--- a/swiftthread/server/request_reader.py
+++ b/swiftthread/server/request_reader.py
@@ -1,4 +1,6 @@
-"""Reads requests from a connection, within the time limits for clients."""
+"""Reads requests from a connection."""
+
+# They are read within the time limits for clients.
 
 from collections.abc import Callable
 
@@ -18,7 +20,9 @@
 
 
 class RequestReader:
-    """Reads the requests of all connections, each once the admission queue has admitted it."""
+    """Reads the requests of all connections."""
+
+    # Each is read once the admission queue has admitted it.
 
     def __init__(
         self,
@@ -29,16 +33,12 @@
         request_timeout_ms: float,
         idle_timeout_ms: float,
     ) -> None:
-        """Create a reader.
-
-        Args:
-            connections: Table of the connections and their states.
-            admission_queue: Queue in which connections wait until their request may be read.
-            log_clock: Returns the time in ms on the clock of the write-ahead log.
-            first_request_timeout_ms: Longest time from the accept to the last byte of the first request.
-            request_timeout_ms: Longest time from the first byte of a request to its last byte.
-            idle_timeout_ms: Longest time from a response to the first byte of the next request.
-        """
+        # Create a reader. `connections` is the table of the connections and their states. `admission_queue`
+        # is the queue in which connections wait until their request may be read. `log_clock` returns the time
+        # in ms on the clock of the write-ahead log. `first_request_timeout_ms` is the longest time from the
+        # accept to the last byte of the first request. `request_timeout_ms` is the longest time from the
+        # first byte of a request to its last byte. `idle_timeout_ms` is the longest time from a response to
+        # the first byte of the next request.
         self._connections = connections
         self._admission_queue = admission_queue
         self._log_clock = log_clock
@@ -49,14 +49,11 @@
     async def read(self, connection: Connection, is_first: bool) -> Request:
         """Wait for the next request and read it.
 
-        Args:
-            connection: Connection to read from.
-            is_first: Whether this is the connection's first request.
-
         Raises:
             BadRequest: The request is malformed or takes too long.
             ConnectionClosed: The connection has closed, or no request arrived in time.
         """
+        # `is_first` says whether this is the connection's first request.
         timeout_s = (self._first_request_timeout_ms if is_first else self._idle_timeout_ms) / 1000.0
         while True:
             with anyio.move_on_after(timeout_s) as timeout:
@@ -109,7 +106,7 @@
             raise BadRequest(error.error_status_hint) from None
 
     async def _receive(self, connection: Connection) -> None:
-        """Wait for more bytes, and for admission if they begin a request, then read them."""
+        # Wait for more bytes, and for admission if they begin a request, then read them.
         if connection.parser.they_are_waiting_for_100_continue:
             interim = h11.InformationalResponse(status_code=HttpStatus.CONTINUE, headers=[])
             await connection.write(connection.parser.send(interim))
--- a/swiftthread/server/response.py
+++ b/swiftthread/server/response.py
@@ -1,4 +1,6 @@
-"""Responses to clients, which consist of a status and headers without a body."""
+"""Responses to clients."""
+
+# They consist of a status and headers without a body.
 
 import h11
 
@@ -23,15 +25,12 @@
 ) -> None:
     """Write the response to the request that was read last.
 
-    Args:
-        connection: Connection to write to.
-        status: HTTP status.
-        closes_connection: Whether to announce that this response is the last one on the connection.
-        retry_after_ms: Time after which the client should resubmit (Retry-After); 0 sends no such header.
-
     Raises:
         ConnectionClosed: The connection has closed, or its state allows no further response.
     """
+    # `closes_connection` says whether to announce that this response is the last one on the connection.
+    # `retry_after_ms` is the time after which the client should resubmit (Retry-After); 0 sends no such
+    # header.
     headers = [("Content-Length", "0")]
     if closes_connection:
         headers.append(("Connection", "close"))
--- a/swiftthread/server/submission.py
+++ b/swiftthread/server/submission.py
@@ -1,4 +1,6 @@
-"""Validation of a request's head, and parsing of the event that it submits. No I/O."""
+"""Validation of a request's head, and parsing of the event that it submits."""
+
+# Nothing here does I/O.
 
 import re
 import zlib
@@ -74,16 +76,12 @@
 def parse_submission(request: Request, stream_types: Container[str]) -> PendingEvent:
     """Return the event that a request submits.
 
-    The event's remaining time counts from the arrival of the request, not from when it is read, because time
-    passes for the client too while the request waits to be read.
-
-    Args:
-        request: The request.
-        stream_types: Names of the stream types that the node serves.
-
     Raises:
         BadRequest: The request does not submit a valid event.
     """
+    # `stream_types` are the names of the stream types that the node serves. The event's remaining time counts
+    # from the arrival of the request, not from when it is read, because time passes for the client too while
+    # the request waits to be read.
     head = request.head
     if head.method != b"POST":
         raise BadRequest(HttpStatus.NOT_FOUND)
@@ -127,5 +125,5 @@
 
 
 def _ordering_key_of(entity: str) -> int:
-    """Return the ordering key of an entity, whose events stay in order; 0 if no entity is named."""
+    # Return the ordering key of an entity, whose events stay in order; 0 if no entity is named.
     return zlib.crc32(entity.encode("latin-1")) + 1 if entity else 0
--- a/swiftthread/storage/__init__.py
+++ b/swiftthread/storage/__init__.py
@@ -1,1 +1,3 @@
-"""Durable state of a node: the write-ahead log and the pending events recorded in it."""
+"""Durable state of a node."""
+
+# It consists of the write-ahead log and the pending events recorded in it.
--- a/swiftthread/storage/decision.py
+++ b/swiftthread/storage/decision.py
@@ -1,11 +1,15 @@
-"""Final outcome of an event that was not delivered, as written to the log and sent in notifications."""
+"""Final outcome of an event that was not delivered."""
+
+# It is written to the log and sent in notifications.
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class FinalOutcome(StrEnum):
-    """Final outcome of an undelivered event; the values are stored in the log and sent in notifications."""
+    """Final outcome of an undelivered event."""
+
+    # The values are stored in the log and sent in notifications.
 
     ABANDONED = "given_up"
     """An attempt may have had an effect."""
@@ -14,12 +18,9 @@
 
 
 class Decision(NamedTuple):
-    """The final outcome of an undelivered event and the advice to its client.
-
-    Attributes:
-        outcome: The final outcome.
-        retry_after_ms: Time after which the client should submit the event again; 0 gives no advice.
-    """
+    """The final outcome of an undelivered event and the advice to its client."""
 
     outcome: FinalOutcome
+    """The final outcome."""
     retry_after_ms: float
+    """Time after which the client should submit the event again; 0 gives no advice."""
--- a/swiftthread/storage/event_records.py
+++ b/swiftthread/storage/event_records.py
@@ -1,4 +1,6 @@
-"""Encodes the log records of an event, one function for each kind, and decodes its accepted record."""
+"""Encodes the log records of an event."""
+
+# The accepted record is decoded here too. There is one encoding function for each kind of record.
 
 import json
 import struct
@@ -13,7 +15,8 @@
 
 
 def accepted_record(pending: PendingEvent) -> bytes:
-    """Encode that the event was accepted, with everything that its client submitted."""
+    """Encode that the event was accepted."""
+    # The record holds everything that its client submitted.
     fields = json.dumps(
         [
             pending.event_id,
@@ -53,7 +56,8 @@
 
 
 def state_record(event_id: str, attempts: int, possible_execution: PossibleExecution | None) -> bytes:
-    """Encode the attempts before a compaction and the first that may have run, for the compacted file."""
+    """Encode the attempts before a compaction and the first that may have run."""
+    # The record is for the compacted file.
     return _json_record(STATE, event_id, attempts, possible_execution)
 
 
@@ -73,17 +77,20 @@
 
 
 def ended_record(event_id: str) -> bytes:
-    """Encode that the event ended; its accepted record precedes this one in the file."""
+    """Encode that the event ended."""
+    # Its accepted record precedes this one in the file.
     return _json_record(ENDED, event_id)
 
 
 def ended_record_with_fingerprint(event_id: str, fingerprint: str | None) -> bytes:
-    """Encode that the event ended, for a compacted file, which no longer holds its accepted record."""
+    """Encode that the event ended, for a compacted file."""
+    # A compacted file no longer holds the event's accepted record.
     return _json_record(ENDED, event_id, fingerprint)
 
 
 def encode_snapshot(pending: PendingEvent) -> bytes:
-    """Encode all that is known of a pending event as the records of a compacted file."""
+    """Encode a pending event as the records of a compacted file."""
+    # The records hold all that is known of the event.
     parts = [accepted_record(pending)]
     if pending.attempts or pending.possible_execution:
         # The send in flight gets a separate record, because it may still turn out that it never ran.
--- a/swiftthread/storage/log_file.py
+++ b/swiftthread/storage/log_file.py
@@ -1,7 +1,7 @@
-"""The file of the write-ahead log: atomic appends, replacement of the file, and changing a record in place.
+"""The file of the write-ahead log."""
 
-Data written to the kernel survives the death of the process, so the file is not synced to the disk.
-"""
+# It has atomic appends, replacement of the file, and changing a record in place. Data written to the kernel
+# survives the death of the process, so the file is not synced to the disk.
 
 import errno
 import os
@@ -15,7 +15,9 @@
 
 
 class LogFileError(OSError):
-    """The log file could not be changed; `strerror` is the reason and `filename` the path of the file."""
+    """The log file could not be changed."""
+
+    # `strerror` is the reason and `filename` the path of the file.
 
     @classmethod
     def from_os_error(cls, error: OSError, path: str) -> Self:
@@ -24,25 +26,16 @@
 
 
 class LogFile:
-    """The open log file; owns its descriptor.
-
-    Attributes:
-        path: Path of the file.
-        size: Bytes of complete records in the file; a partial write behind them is not counted.
-    """
+    """The open log file; owns its descriptor."""
 
     def __init__(self, folder: str, max_bytes: int) -> None:
-        """Open the file, or create it.
-
-        Args:
-            folder: The folder of the file.
-            max_bytes: Size of the file above which `has_capacity_for` returns False.
-
-        Raises:
-            OSError: The file cannot be opened, or the rest of an unfinished replacement cannot be removed.
-        """
+        # Open the file in `folder`, or create it. `max_bytes` is the size of the file above which
+        # `has_capacity_for` returns False. OSError is raised if the file cannot be opened, or the rest of an
+        # unfinished replacement cannot be removed.
         self.path = os.path.join(folder, FILE_NAME)
+        """Path of the file."""
         self.size = 0
+        """Bytes of complete records in the file; a partial write behind them is not counted."""
         self._new_path = os.path.join(folder, NEW_FILE_NAME)
         self._max_bytes = max_bytes
         self._has_partial_write = False
@@ -55,14 +48,16 @@
         os.close(self._descriptor)
 
     def read(self) -> bytes:
-        """Return the contents of the file; `size` then counts all of them as complete records."""
+        """Return the contents of the file."""
+        # `size` then counts all of them as complete records.
         with open(self.path, "rb") as source:
             data = source.read()
         self.size = len(data)
         return data
 
     def has_capacity_for(self, byte_count: int) -> bool:
-        """Return whether the file stays within its maximum size if this number of bytes is appended."""
+        """Return whether this number of bytes can be appended."""
+        # The file must stay within its maximum size.
         return self.size + byte_count <= self._max_bytes
 
     def append(self, data: bytes) -> int:
@@ -83,11 +78,12 @@
         return offset
 
     def remove_partial_write(self) -> None:
-        """Cut off the partial record that a failed append left, if it could not be cut off at that time.
+        """Cut off the partial record that a failed append left.
 
         Raises:
             LogFileError: The partial record cannot be removed.
         """
+        # There is one only if it could not be cut off when the append failed.
         if self._has_partial_write:
             self.truncate(self.size)
 
@@ -120,7 +116,7 @@
         self._has_partial_write = False
 
     def _write_new_file(self, data: bytes) -> int:
-        """Write the new file and rename it to `path`; return its open descriptor."""
+        # Write the new file and rename it to `path`; return its open descriptor.
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         descriptor = os.open(self._new_path, flags, FILE_MODE)
         try:
@@ -133,11 +129,12 @@
         return descriptor
 
     def overwrite_kind(self, record_offset: int, kind: bytes) -> None:
-        """Overwrite the kind of the record at an offset, which needs no free space on the disk.
+        """Overwrite the kind of the record at an offset.
 
         Raises:
             LogFileError: The kind could not be overwritten and is unchanged.
         """
+        # This needs no free space on the disk.
         try:
             # A separate descriptor, because writes to the other one (O_APPEND) ignore the offset.
             descriptor = os.open(self.path, os.O_WRONLY)
--- a/swiftthread/storage/pending_event.py
+++ b/swiftthread/storage/pending_event.py
@@ -1,4 +1,6 @@
-"""An accepted event that has not ended: neither acknowledged, nor its client notified of a final outcome."""
+"""An accepted event that has not ended."""
+
+# It is neither acknowledged, nor has its client been notified of a final outcome.
 
 import hashlib
 import json
@@ -11,15 +13,12 @@
 
 
 class PossibleExecution(NamedTuple):
-    """A send after which the endpoint may have executed the event.
-
-    Attributes:
-        sent_at: When the event was sent, in ms on the clock of the log.
-        group: The deduplication group that it was sent to, a zone or an endpoint; None if there is none.
-    """
+    """A send after which the endpoint may have executed the event."""
 
     sent_at: float
+    """When the event was sent, in ms on the clock of the log."""
     group: int | str | None
+    """The deduplication group that it was sent to, a zone or an endpoint; None if there is none."""
 
 
 UNKNOWN_EXECUTION = PossibleExecution(0.0, None)
@@ -28,44 +27,43 @@
 
 @dataclass(slots=True, eq=False)
 class PendingEvent:
-    """An event as its client submitted it, and what is known of its sends.
-
-    Attributes:
-        event_id: The client's id of the event.
-        idempotency_key: The client's idempotency key; empty if it sent none.
-        stream_type: Name of the stream type.
-        destination: Number of the destination.
-        expires_at: Time after which the event must not be sent, in ms on the clock of the log.
-        tenant: Name of the tenant; None if the client named none.
-        ordering_key: Number of the ordering key; 0 if there is none.
-        body: The event's body.
-        attempts: Number of sends so far, including those that never ran.
-        send_in_flight: The send whose result is not known yet; None if there is none.
-        possible_execution: The earliest send before the one in flight that may have executed the event; None
-            if there is none. After a restart the send in flight counts too.
-        decision: The final outcome, once it is decided that the event will not be delivered.
-        router_event: The event of the router that stands for this one; set by the node, not stored.
-        reserved_bytes: Upper bound of the bytes that its records need in the log.
-        file_offset: Where its accepted record begins in the log file.
-        decision_is_logged: Whether the decision is in the log, so that a restart restores it.
-    """
+    """An event as its client submitted it."""
+
+    # It also has what is known of the event's sends.
 
     event_id: str
+    """The client's id of the event."""
     idempotency_key: str
+    """The client's idempotency key; empty if it sent none."""
     stream_type: str
+    """Name of the stream type."""
     destination: int
+    """Number of the destination."""
     expires_at: float
+    """Time after which the event must not be sent, in ms on the clock of the log."""
     tenant: str | None
+    """Name of the tenant; None if the client named none."""
     ordering_key: int
+    """Number of the ordering key; 0 if there is none."""
     body: bytes
+    """The event's body."""
     attempts: int = field(init=False, default=0)
+    """Number of sends so far, including those that never ran."""
     send_in_flight: PossibleExecution | None = field(init=False, default=None)
+    """The send whose result is not known yet; None if there is none."""
     possible_execution: PossibleExecution | None = field(init=False, default=None)
+    """The earliest send before the one in flight that may have executed the event; None if there is none.
+    After a restart the send in flight counts too."""
     decision: Decision | None = field(init=False, default=None)
+    """The final outcome, once it is decided that the event will not be delivered."""
     router_event: Any = field(init=False, default=None)
+    """The event of the router that stands for this one; set by the node, not stored."""
     reserved_bytes: int = field(init=False, default=0)
+    """Upper bound of the bytes that its records need in the log."""
     file_offset: int = field(init=False, default=0)
+    """Where its accepted record begins in the log file."""
     decision_is_logged: bool = field(init=False, default=False)
+    """Whether the decision is in the log, so that a restart restores it."""
 
     def record_send(self, send: PossibleExecution) -> None:
         """Record that the event is about to be sent."""
@@ -74,11 +72,13 @@
         self.send_in_flight = send
 
     def record_lost_result(self) -> None:
-        """Record that the send in flight, if there is one, may have executed the event."""
+        """Record that the send in flight may have executed the event."""
+        # Nothing is recorded if there is no send in flight.
         self.possible_execution = self.possible_execution or self.send_in_flight
 
     def fingerprint(self) -> str:
-        """Return a digest of the submitted fields except id and expiry; repeated submissions share it."""
+        """Return a digest of the submitted fields except id and expiry."""
+        # Repeated submissions share it.
         identity = [
             self.idempotency_key,
             self.stream_type,
--- a/swiftthread/storage/recently_ended.py
+++ b/swiftthread/storage/recently_ended.py
@@ -1,4 +1,6 @@
-"""Ids of events that ended recently, by which a repeated submission is recognised."""
+"""Ids of events that ended recently."""
+
+# A repeated submission is recognised by them.
 
 from collections.abc import Callable, ItemsView
 from typing import NamedTuple
@@ -9,15 +11,12 @@
 
 
 class EndedEvent(NamedTuple):
-    """What is retained of an ended event.
-
-    Attributes:
-        ended_at: When the event ended, or when a restart read its end from the log, in ms on the log's clock.
-        fingerprint: See `PendingEvent.fingerprint`; None if an older build wrote the log without it.
-    """
+    """What is retained of an ended event."""
 
     ended_at: float
+    """When the event ended, or when a restart read its end from the log, in ms on the log's clock."""
     fingerprint: str | None
+    """See `PendingEvent.fingerprint`; None if an older build wrote the log without it."""
 
 
 class RecentlyEndedEvents:
--- a/swiftthread/storage/records.py
+++ b/swiftthread/storage/records.py
@@ -1,8 +1,8 @@
-"""Record format of the write-ahead log: framing, checksums, and scanning of a possibly damaged file.
+"""Record format of the write-ahead log."""
 
-A record consists of a header (checksum, payload length, kind) and a payload. The checksum covers everything
-that follows it in the record.
-"""
+# This module has its framing, its checksums, and the scanning of a possibly damaged file. A record consists
+# of a header (checksum, payload length, kind) and a payload. The checksum covers everything that follows it
+# in the record.
 
 import re
 import struct
@@ -47,7 +47,9 @@
 
 
 class Gap(NamedTuple):
-    """Bytes [begin, end) of a file that contain no complete record; has the same fields as `Record`."""
+    """Bytes [begin, end) of a file that contain no complete record."""
+
+    # A gap has the same fields as `Record`.
 
     begin: int
     end: int
@@ -56,7 +58,8 @@
 
 
 def encode_record(kind: bytes, payload: bytes) -> bytes:
-    """Return one log record with this payload: checksum, length, kind, payload."""
+    """Return one log record with this payload."""
+    # Its parts are checksum, length, kind, payload.
     length_and_kind = LENGTH_AND_KIND.pack(len(payload), kind)
     checksum = zlib.crc32(payload, zlib.crc32(length_and_kind))
     return CHECKSUM.pack(checksum) + length_and_kind + payload
@@ -81,7 +84,7 @@
 
 
 def _record_at(data: bytes, begin: int) -> Record | None:
-    """Return the record that begins at an offset; None if the length or the checksum does not match."""
+    # Return the record that begins at an offset; None if the length or the checksum does not match.
     checksum, length, kind = HEADER.unpack_from(data, begin)
     payload_begin = begin + HEADER.size
     end = payload_begin + length
@@ -96,7 +99,8 @@
 
 
 def is_torn(tail: bytes) -> bool:
-    """Return whether the last bytes of a file can be a record whose writer died before it was complete."""
+    """Return whether the last bytes of a file can be an incomplete record."""
+    # Its writer died before the record was complete.
     if len(tail) < HEADER.size:
         return True
     _, length, kind = HEADER.unpack_from(tail)
--- a/swiftthread/storage/replay.py
+++ b/swiftthread/storage/replay.py
@@ -1,8 +1,8 @@
-"""Replays the write-ahead log at startup, to restore the pending events and the recently ended ids.
+"""Replays the write-ahead log at startup."""
 
-Unreadable bytes are skipped, and the worst case is assumed of the records that they may have held: that every
-event accepted before them was sent and may have run.
-"""
+# This restores the pending events and the recently ended ids. Unreadable bytes are skipped, and the worst
+# case is assumed of the records that they may have held: that every event accepted before them was sent and
+# may have run.
 
 import json
 import struct
@@ -40,16 +40,13 @@
 
 
 class LogReplay:
-    """Restores the table of pending events and the recently ended ids from the contents of a log.
-
-    Attributes:
-        torn_bytes: Length of an incomplete record at the end, whose writer died; 0 if there is none.
-        unreadable_ranges: Other bytes that are not a record, or are a record that cannot be interpreted.
-    """
+    """Restores the table of pending events and the recently ended ids from the contents of a log."""
 
     def __init__(self, table: PendingEventTable, recently_ended: RecentlyEndedEvents) -> None:
         self.torn_bytes = 0
+        """Length of an incomplete record at the end, whose writer died; 0 if there is none."""
         self.unreadable_ranges: list[ByteRange] = []
+        """Other bytes that are not a record, or are a record that cannot be interpreted."""
         self._table = table
         self._recently_ended = recently_ended
 
@@ -73,7 +70,7 @@
             self._skip_unreadable(gap.begin, gap.end)
 
     def _skip_unreadable(self, begin: int, end: int) -> None:
-        """Skip bytes that may have recorded a send or the end of any event accepted before them."""
+        # Skip bytes that may have recorded a send or the end of any event accepted before them.
         self.unreadable_ranges.append(ByteRange(begin, end))
         for pending in self._table.events.values():
             pending.possible_execution = UNKNOWN_EXECUTION
--- a/swiftthread/storage/write_ahead_log.py
+++ b/swiftthread/storage/write_ahead_log.py
@@ -1,9 +1,9 @@
-"""The write-ahead log of a node, from which a restart restores the events that have not ended.
+"""The write-ahead log of a node."""
 
-The log is one file of records, each with a checksum. When the file would exceed its share of the disk, it is
-compacted to the pending events and the recently ended ids. A decision for which the disk has no space is
-recorded in place, by overwriting the kind of the event's accepted record.
-"""
+# A restart restores from it the events that have not ended. The log is one file of records, each with a
+# checksum. When the file would exceed its share of the disk, it is compacted to the pending events and the
+# recently ended ids. A decision for which the disk has no space is recorded in place, by overwriting the kind
+# of the event's accepted record.
 
 from collections.abc import Callable
 from types import TracebackType
@@ -35,30 +35,19 @@
 
 
 class WriteAheadLog:
-    """The log file with the pending events and the recently ended ids that it records.
-
-    Attributes:
-        pending: The pending events by id; an event is removed when it ends.
-        recently_ended: The events that ended recently.
-        torn_bytes: Length of an incomplete record that was cut off the end of the file at startup.
-        unreadable_ranges: (begin, end) of other bytes that could not be interpreted at startup.
-    """
+    """The log file with the pending events and the recently ended ids that it records."""
 
     def __init__(self, folder: str, disk_bytes: int, log_clock: Callable[[], float]) -> None:
-        """Open the log in a folder and read it.
-
-        Args:
-            folder: Folder of the log file; the file is created if it does not exist.
-            disk_bytes: Bytes of the disk that the node may use.
-            log_clock: Returns ms on the clock of stored timestamps, see `LogClock`.
-
-        Raises:
-            OSError: The file cannot be opened or read, or an incomplete record cannot be cut off its end.
-        """
+        # Open the log in a folder and read it. `folder` is the folder of the log file; the file is created if
+        # it does not exist. `disk_bytes` is the number of bytes of the disk that the node may use.
+        # `log_clock` returns ms on the clock of stored timestamps, see `LogClock`. OSError is raised if the
+        # file cannot be opened or read, or an incomplete record cannot be cut off its end.
         self._log_clock = log_clock
         self._table = PendingEventTable(int(MAX_LIVE_DISK_SHARE * disk_bytes))
         self.pending = self._table.events
+        """The pending events by id; an event is removed when it ends."""
         self.recently_ended = RecentlyEndedEvents(log_clock)
+        """The events that ended recently."""
         self._file = LogFile(folder, int(MAX_FILE_DISK_SHARE * disk_bytes))
         try:
             replay = self._replay()
@@ -66,7 +55,9 @@
             self._file.close()
             raise
         self.torn_bytes = replay.torn_bytes
+        """Length of an incomplete record that was cut off the end of the file at startup."""
         self.unreadable_ranges = replay.unreadable_ranges
+        """(begin, end) of other bytes that could not be interpreted at startup."""
 
     def __enter__(self) -> Self:
         return self
@@ -99,7 +90,8 @@
         return self._table.live_bytes
 
     def latest_send_at(self) -> float:
-        """Return the latest time stored in the log, that of a send of a pending event; 0 for none."""
+        """Return the latest time stored in the log; 0 for none."""
+        # It is that of a send of a pending event.
         sends = [
             send.sent_at
             for pending in self.pending.values()
@@ -148,7 +140,8 @@
         self._try_append(pending, never_ran_record(pending.event_id))
 
     def append_decision(self, pending: PendingEvent, decision: Decision) -> bool:
-        """Record a decision; False if it cannot be recorded even in place, and a restart would lose it."""
+        """Record a decision; False if it cannot be recorded even in place."""
+        # If it cannot, a restart would lose the decision.
         pending.decision = decision
         pending.decision_is_logged = (
             pending.decision_is_logged
@@ -158,20 +151,20 @@
         return pending.decision_is_logged
 
     def append_ended(self, pending: PendingEvent) -> None:
-        """Remove an event that was acknowledged, or whose client was notified of its final outcome.
-
-        If the log cannot be written, the event is pending again after a restart.
-        """
+        """Remove an event that ended."""
+        # It was acknowledged, or its client was notified of its final outcome. If the log cannot be written,
+        # the event is pending again after a restart.
         self._table.remove(pending)
         self.recently_ended.add(pending.event_id, pending.fingerprint())
         self._try_append(pending, ended_record(pending.event_id))
 
     def compact(self) -> None:
-        """Replace the file with one that records only the pending events and the recently ended ids.
+        """Replace the file with a compacted one.
 
         Raises:
             LogFileError: The file could not be replaced and is unchanged.
         """
+        # The new file records only the pending events and the recently ended ids.
         parts = []
         offsets = []
         offset = 0
@@ -188,7 +181,7 @@
             pending.file_offset = file_offset
 
     def _replay(self) -> LogReplay:
-        """Read the file, cut off an incomplete record at its end, and compact the file if it is damaged."""
+        # Read the file, cut off an incomplete record at its end, and compact the file if it is damaged.
         replay = LogReplay(self._table, self.recently_ended)
         replay.run(self._file.read())
         if replay.torn_bytes:
@@ -205,14 +198,14 @@
         return replay
 
     def _append(self, data: bytes) -> int:
-        """Append records, and compact the file first if it would exceed its limit; return their offset."""
+        # Append records, and compact the file first if it would exceed its limit; return their offset.
         self._file.remove_partial_write()
         if not self._file.has_capacity_for(len(data)):
             self.compact()
         return self._file.append(data)
 
     def _try_append(self, pending: PendingEvent, data: bytes) -> bool:
-        """Append a record of an event; if that fails, log an error and return False."""
+        # Append a record of an event; if that fails, log an error and return False.
         try:
             self._append(data)
         except LogFileError as error:
@@ -225,7 +218,7 @@
         return True
 
     def _try_record_in_place(self, pending: PendingEvent, decision: Decision) -> bool:
-        """Overwrite the kind of the event's accepted record; if that fails, log an error and return False."""
+        # Overwrite the kind of the event's accepted record; if that fails, log an error and return False.
         try:
             self._file.overwrite_kind(pending.file_offset, IN_PLACE_KINDS[decision.outcome])
         except LogFileError as error:
