--- a/swiftthread/client/discovery_client.py
+++ b/swiftthread/client/discovery_client.py
@@ -1,7 +1,6 @@
-"""Client of discovery: follows the endpoint list through a watch, one long HTTP response.
+"""Client of discovery: follows the endpoint list through a watch, one long HTTP response."""
 
-A watch that ends or times out is opened again.
-"""
+# A watch that ends or times out is opened again.
 
 from __future__ import annotations
 
@@ -27,7 +26,9 @@
 
 
 class DiscoveryClient:
-    """Watches the endpoint list. Its owner calls `watch` again whenever a watch has ended or timed out."""
+    """Watches the endpoint list."""
+
+    # Its owner calls `watch` again whenever a watch has ended or timed out.
 
     def __init__(
         self,
@@ -38,34 +39,31 @@
         idle_timeout_ms: float,
         connect_timeout_ms: float,
     ) -> None:
-        """Construct the client.
-
-        Args:
-            address: Address of discovery, as (host, port).
-            buffers: Pool of buffers for reads.
-            kind_numbers: Numbers of the endpoint kinds in the settings, by name.
-            zone_numbers: Numbers of the zones in the settings, by name.
-            idle_timeout_ms: How long a watch may deliver neither an empty line nor a complete list document
-                before it is closed.
-            connect_timeout_ms: How long connecting may take.
-        """
         self.address = address
+        """Address of discovery, as (host, port)."""
         self.buffers = buffers
+        """Pool of buffers for reads."""
         self.idle_timeout_ms = idle_timeout_ms
+        """How long a watch may deliver neither an empty line nor a complete list document.
+
+        After that the watch is closed.
+        """
         self.connect_timeout_ms = connect_timeout_ms
+        """How long connecting may take."""
+        # `kind_numbers` has the numbers of the endpoint kinds in the settings, by name; `zone_numbers` has
+        # the numbers of the zones in the settings, by name.
         self.endpoint_list = EndpointList(kind_numbers, zone_numbers)
         self.watch_scope = anyio.CancelScope()
 
     @property
     def addresses(self) -> Mapping[str | int, Address]:
-        """Addresses as (host, port), by endpoint id. The mapping is updated in place."""
+        """Addresses as (host, port), by endpoint id."""
+        # The mapping is updated in place.
         return self.endpoint_list.addresses
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Set the address after discovery has moved.
-
-        The current watch is cancelled, and the next one requests the complete list at the new address.
-        """
+        """Set the address after discovery has moved."""
+        # The current watch is cancelled, and the next one requests the complete list at the new address.
         if address != self.address:
             self.address = address
             self.endpoint_list.version = 0
@@ -79,7 +77,7 @@
         """Open a watch and pass each update to `on_update`, until the watch ends, times out or fails.
 
         Returns:
-            False if the watch was cancelled because discovery has moved, otherwise True.
+            False if cancelled because discovery has moved, otherwise True.
         """
         with anyio.CancelScope() as self.watch_scope:
             await self._watch(on_update)
@@ -118,12 +116,9 @@
         await connection.write(*encode_request(connection, request))
 
     async def _read_updates(self, connection: Connection, on_update: UpdateCallback) -> None:
-        """Pass each update to `on_update` until the response body ends.
-
-        Raises:
-            TimeoutError: The watch was idle for longer than `idle_timeout_ms`.
-            MalformedEndpointList: A list has an unreadable entry, and the complete list is to be requested.
-        """
+        # Pass each update to `on_update` until the response body ends.
+        # Raises TimeoutError if the watch was idle for longer than `idle_timeout_ms`, and
+        # MalformedEndpointList if a list has an unreadable entry and the complete list is to be requested.
         lines = BodyLineReader(connection)
         assembler = JsonAssembler()
         while True:
--- a/swiftthread/client/endpoint_call.py
+++ b/swiftthread/client/endpoint_call.py
@@ -33,13 +33,9 @@
 
 
 class EndpointCall:
-    """One call with the sends of a batch. Times are in ms on `clock`, which is monotonic.
+    """One call with the sends of a batch."""
 
-    Attributes:
-        initial_deadlines: The send deadline of each send when the call started, in the order of the batch.
-        key: The endpoint and its address when the call started.
-        write_started_at: Time right before the first byte was sent.
-    """
+    # Times are in ms on `clock`, which is monotonic.
 
     __slots__ = (
         "batch",
@@ -72,10 +68,13 @@
         self.initial_deadlines = [
             send_deadline(send.pending.router_event, batch.endpoint, self.started_at) for send in batch.sends
         ]
+        """The send deadline of each send when the call started, in the order of the batch."""
         self.key = connections.key_of(batch.endpoint)
+        """The endpoint and its address when the call started."""
         self.connection: Connection | None = None
         self.response = HttpResponse()
         self.write_started_at = 0.0
+        """Time right before the first byte was sent."""
 
     async def run(self) -> CompletedCall:
         """Make the call and return how it ended, apart from what the response says (see `response`)."""
@@ -112,11 +111,8 @@
             self._finish_unsent(send, self.clock())
 
     async def _attempt(self) -> SendOutcome:
-        """Connect, write the request and read the response.
-
-        Raises:
-            ConnectionClosed: The connection failed or was closed.
-        """
+        # Connect, write the request and read the response. Raises ConnectionClosed if the connection failed
+        # or was closed.
         connect_by = self.batch.connect_deadline()
         last_send_deadline = max(self.initial_deadlines)
         with anyio.move_on_after(max(0.0, min(connect_by, last_send_deadline) - self.started_at) / 1000.0):
@@ -135,14 +131,10 @@
         return await self._exchange(self.connection, parts, write_by, respond_by)
 
     def _check_send_deadlines(self) -> float:
-        """Right before the first byte is sent, set `batch.in_call` to the sends that may still be made.
-
-        The other sends finish as not sent: connecting may have taken too long, or this process may have been
-        suspended.
-
-        Returns:
-            The time by which the last byte of the request must have been sent.
-        """
+        # Right before the first byte is sent, set `batch.in_call` to the sends that may still be made. The
+        # other sends finish as not sent: connecting may have taken too long, or this process may have been
+        # suspended.
+        # Returns the time by which the last byte of the request must have been sent.
         now = self.clock()
         endpoint = self.batch.endpoint
         write_by = math.inf
@@ -164,11 +156,8 @@
     async def _exchange(
         self, connection: Connection, parts: list[bytes], write_by: float, respond_by: float
     ) -> SendOutcome:
-        """Write the request and read the response.
-
-        Returns:
-            The outcome as far as it is known without the contents of the response.
-        """
+        # Write the request and read the response. Returns the outcome as far as it is known without the
+        # contents of the response.
         outcome = SendOutcome.UNREACHABLE
         begun_at = self.clock()
         with anyio.move_on_after(max(0.0, respond_by - begun_at) / 1000.0) as response_scope:
@@ -189,27 +178,23 @@
     async def _is_delivered(
         self, connection: Connection, response_scope: anyio.CancelScope, deliver_by: float
     ) -> bool:
-        """Read the response until `deliver_by`; return whether the endpoint's host has the whole request.
-
-        If it does not, the rest of the request could still arrive after the deadline.
-        """
+        # Read the response until `deliver_by`; return whether the endpoint's host has the whole request. If
+        # it does not, the rest of the request could still arrive after the deadline.
         with anyio.move_on_after(max(0.0, deliver_by - self.clock()) / 1000.0):
             await receive(connection, self.response, response_scope)
         return self.response.is_complete or connection.is_all_acknowledged()
 
     def _response_age_ms(self) -> float:
-        """Returns how long ago the kernel received the response, in ms; 0 if it gave no timestamp."""
+        # Returns how long ago the kernel received the response, in ms; 0 if it gave no timestamp.
         if self.connection is None or self.connection.received_at is None:
             return 0.0
         return self.clock() - self.connection.received_at
 
     def _latency_ms(self, is_refused: bool) -> float:
-        """Returns the time from the start of the write to the response, in ms.
-
-        For a call without a response it is the time from its start to its end, or 0 if the connection was
-        refused. The response's time is when the kernel received it. Otherwise a delay of this process in
-        reading it would be attributed to the endpoint.
-        """
+        # Returns the time from the start of the write to the response, in ms.
+        # For a call without a response it is the time from its start to its end, or 0 if the connection was
+        # refused. The response's time is when the kernel received it. Otherwise a delay of this process in
+        # reading it would be attributed to the endpoint.
         if self.connection is None or not (self.response.has_begun or self.response.is_complete):
             return 0.0 if is_refused else self.clock() - self.started_at
         return max(0.0, self.clock() - self._response_age_ms() - self.write_started_at)
--- a/swiftthread/client/endpoint_client.py
+++ b/swiftthread/client/endpoint_client.py
@@ -49,33 +49,27 @@
         report_fields: Collection[str],
         send_deadline: SendDeadline,
     ) -> None:
-        """Construct the client.
-
-        Args:
-            tasks: Task group in which the calls run.
-            connections: Pool of idle connections.
-            buffers: Pool of buffers for reads.
-            clock: Returns the monotonic time in ms.
-            log_clock: Returns the time of the write-ahead log's clock in ms.
-            addresses: Addresses as (host, port), by endpoint id; their owner updates the mapping in place.
-            connect_timeout_ms: How long connecting, or a whole health check, may take.
-            report_fields: Names of the fields of a load report; empty if endpoints send no load reports.
-            send_deadline: Returns when the last byte of a send must have been sent.
-        """
         self.tasks = tasks
+        """Task group in which the calls run."""
+        # `connections` is the pool of idle connections, and `buffers` the pool of buffers for reads.
+        # `addresses` has the addresses as (host, port), by endpoint id; their owner updates the mapping in
+        # place.
         self.connections = EndpointConnections(connections, buffers, addresses, connect_timeout_ms)
         self.clock = clock
+        """Returns the monotonic time in ms."""
         self.log_clock = log_clock
+        """Returns the time of the write-ahead log's clock in ms."""
         self.connect_timeout_ms = connect_timeout_ms
+        """How long connecting, or a whole health check, may take."""
         self.report_fields = report_fields
+        """Names of the fields of a load report; empty if endpoints send no load reports."""
         self.send_deadline = send_deadline
+        """Returns when the last byte of a send must have been sent."""
         self.batches: dict[Call, Batch] = {}  # emptied by `start_batches`
 
     async def send(self, pending: PendingEvent, send: Send) -> SendResult:
-        """Send an event and return the result.
-
-        The next `start_batches` starts the call, together with the other events of the same call.
-        """
+        """Send an event and return the result."""
+        # The next `start_batches` starts the call, together with the other events of the same call.
         now = self.clock()
         call = pending.router_event.call
         batch = self.batches.get(call)
@@ -96,7 +90,7 @@
             self.tasks.start_soon(self._call, batch)
 
     async def _call(self, batch: Batch) -> None:
-        """Make the call of a batch and finish each send in it."""
+        # Make the call of a batch and finish each send in it.
         call = EndpointCall(batch, self.connections, self.clock, self.log_clock, self.send_deadline)
         if len(batch.sends) > 1:
             self.tasks.start_soon(call.finish_expired_sends)
--- a/swiftthread/client/endpoint_connections.py
+++ b/swiftthread/client/endpoint_connections.py
@@ -35,11 +35,9 @@
         self.connect_timeout_ms = connect_timeout_ms
 
     def key_of(self, endpoint: Endpoint) -> PoolKey:
-        """Returns the pool key of an endpoint's connections.
-
-        It has both the endpoint id and the present address: discovery may assign the address of one endpoint
-        to another.
-        """
+        """Returns the pool key of an endpoint's connections."""
+        # It has both the endpoint id and the present address: discovery may assign the address of one
+        # endpoint to another.
         return PoolKey(endpoint.endpoint_id, self.addresses.get(endpoint.endpoint_id))
 
     async def acquire(self, key: PoolKey) -> Connection:
--- a/swiftthread/client/endpoint_list.py
+++ b/swiftthread/client/endpoint_list.py
@@ -42,21 +42,19 @@
 
 
 class EndpointList:
-    """The endpoints that discovery has listed. Removed endpoints are deleted from the tables.
+    """The endpoints that discovery has listed."""
 
-    Attributes:
-        version: Version of the last list document; 0 if the complete list is to be requested.
-        addresses: Addresses as (host, port), by endpoint id; the mapping is updated in place.
-        consecutive_unreadable_lists: How many consecutive list documents, up to the last one, had an entry
-            that could not be parsed.
-    """
+    # Removed endpoints are deleted from the tables.
 
     def __init__(self, kind_numbers: Mapping[str, int], zone_numbers: Mapping[str, int]) -> None:
         self.kind_numbers = kind_numbers
         self.zone_numbers = zone_numbers
         self.version = 0
+        """Version of the last list document; 0 if the complete list is to be requested."""
         self.addresses: dict[str | int, Address] = {}
+        """Addresses as (host, port), by endpoint id; the mapping is updated in place."""
         self.consecutive_unreadable_lists = 0
+        """How many consecutive list documents, up to the last one, had an entry that could not be parsed."""
         self._entries: dict[str, EndpointEntry] = {}  # by endpoint id, as last parsed
         # Numbers of zones that are not in the settings, by name; of endpoints without a zone, by id.
         self._unconfigured_zones: dict[str, int] = {}
@@ -64,12 +62,11 @@
     def apply_document(self, document: Any) -> EndpointListUpdate:
         """Apply a list document from discovery.
 
-        An entry that cannot be parsed is left out. If its endpoint is known, the update has the last entry of
-        the endpoint instead, marked as not ready.
-
         Raises:
             MalformedEndpointList: The document is not an endpoint list; nothing has been changed.
         """
+        # An entry that cannot be parsed is left out. If its endpoint is known, the update has the last entry
+        # of the endpoint instead, marked as not ready.
         raw_entries = _parse_entries(document)
         version = _parse_version(document, default=self.version)
         is_complete = bool(document.get("full"))
@@ -99,7 +96,7 @@
         return EndpointListUpdate(entries, is_complete)
 
     def _apply_entry(self, raw_entry: Any) -> EndpointEntry:
-        """Parse the entry of one endpoint; it and the address are stored only if all values can be parsed."""
+        # Parse the entry of one endpoint; it and the address are stored only if all values can be parsed.
         endpoint_id = _parse_value(raw_entry, "id", _require_string)
         state = _parse_value(raw_entry, "state", lambda value: value)
         address = None if state == STATE_DELETED else _parse_value(raw_entry, "addr", parse_address)
@@ -121,11 +118,8 @@
         return entry
 
     def _kind_number(self, endpoint_id: str, name: Any) -> int:
-        """Returns the number of a kind.
-
-        A kind that the settings do not name has FIRST_UNCONFIGURED_NUMBER, which no kind in the settings
-        has: its endpoints get one event per call and have no separate route.
-        """
+        # Returns the number of a kind. A kind that the settings do not name has FIRST_UNCONFIGURED_NUMBER,
+        # which no kind in the settings has: its endpoints get one event per call and have no separate route.
         if not (isinstance(name, str) and name in self.kind_numbers):
             logger.warning(
                 "endpoint {}: kind {!r} is not in the settings; it gets one event per call", endpoint_id, name
@@ -134,12 +128,9 @@
         return self.kind_numbers[name]
 
     def _zone_number(self, endpoint_id: str, name: Any) -> int:
-        """Returns the number of a zone.
-
-        A zone that the settings do not name has a separate number, because events are deduplicated only
-        within one zone. The number is the same after a restart. An endpoint without a zone counts as a
-        separate zone.
-        """
+        # Returns the number of a zone. A zone that the settings do not name has a separate number, because
+        # events are deduplicated only within one zone. The number is the same after a restart. An endpoint
+        # without a zone counts as a separate zone.
         if isinstance(name, str) and name in self.zone_numbers:
             return self.zone_numbers[name]
         has_name = isinstance(name, str) and name != ""
@@ -174,11 +165,8 @@
 
 
 def _parse_value(raw_entry: Any, key: str, parse: Callable[[Any], Value]) -> Value:
-    """Parse the value under a key of an entry.
-
-    Raises:
-        MalformedEndpointEntry: The value is missing or cannot be parsed.
-    """
+    # Parse the value under a key of an entry. Raises MalformedEndpointEntry if the value is missing or cannot
+    # be parsed.
     try:
         return parse(raw_entry[key])
     except PARSE_ERRORS as error:
--- a/swiftthread/client/endpoint_request.py
+++ b/swiftthread/client/endpoint_request.py
@@ -16,12 +16,8 @@
 
 
 def build_send_request(events: Sequence[PendingEvent], remaining_ms: float) -> HttpRequest:
-    """Build the request for one or several events.
-
-    Args:
-        events: The events of the call.
-        remaining_ms: How long the response is waited for; the endpoint gets it in the X-Remaining header.
-    """
+    """Build the request for one or several events."""
+    # `remaining_ms` is how long the response is waited for; the endpoint gets it in the X-Remaining header.
     headers = [HOST_HEADER, ("X-Remaining", f"{max(1, int(remaining_ms))}m")]
     if len(events) == 1:
         (pending,) = events
--- a/swiftthread/client/endpoint_response.py
+++ b/swiftthread/client/endpoint_response.py
@@ -1,4 +1,6 @@
-"""The result of each event in a call, derived from the endpoint's response. This module does no I/O."""
+"""The result of each event in a call, derived from the endpoint's response."""
+
+# This module does no I/O.
 
 from __future__ import annotations
 
@@ -62,15 +64,10 @@
     in_call_count: int,
     report_fields: Collection[str],
 ) -> list[SendResult]:
-    """Returns the result of each event's send, in the order of `events`.
-
-    Args:
-        response: The response, as far as it was received.
-        call: How the call ended apart from the response.
-        events: All events of the call's batch.
-        in_call_count: How many of them were in the request.
-        report_fields: Names of the fields of a load report.
-    """
+    """Returns the result of each event's send, in the order of `events`."""
+    # `response` is the response as far as it was received, and `call` is how the call ended apart from the
+    # response. `events` has all events of the call's batch, of which `in_call_count` were in the request.
+    # `report_fields` has the names of the fields of a load report.
     retry_after_ms = parse_retry_after_ms(response.headers)
     report = parse_load_report(response.headers, report_fields)
     states: dict[str, EventState] = {}
@@ -100,7 +97,7 @@
 
 
 def _outcome_of_error(response: HttpResponse, call: CompletedCall, has_retry_after: bool) -> SendOutcome:
-    """Returns the outcome of a complete response with a status other than 200."""
+    # Returns the outcome of a complete response with a status other than 200.
     status = response.status
     headers = response.headers
     if response.has_trailing_bytes:
@@ -143,7 +140,7 @@
 
 
 def _parse_states(body: bytes | bytearray) -> dict[str, EventState]:
-    """Returns the states by event id, without unknown ones; empty if the body cannot be parsed."""
+    # Returns the states by event id, without unknown ones; empty if the body cannot be parsed.
     try:
         return {
             entry["id"]: state
--- a/swiftthread/client/http_exchange.py
+++ b/swiftthread/client/http_exchange.py
@@ -1,9 +1,8 @@
-"""One HTTP/1.1 request and its response, parsed by h11: for endpoints, discovery and notifications.
+"""One HTTP/1.1 request and its response, parsed by h11: for endpoints, discovery and notifications."""
 
-A response may be malformed: it may not be HTTP, never end, or have a wrong length. Reading it raises
-`ConnectionClosed` as soon as this is known. The status of its first line is stored nevertheless, because a
-first line with 200 is valid whatever follows it.
-"""
+# A response may be malformed: it may not be HTTP, never end, or have a wrong length. Reading it raises
+# `ConnectionClosed` as soon as this is known. The status of its first line is stored nevertheless, because a
+# first line with 200 is valid whatever follows it.
 
 from __future__ import annotations
 
@@ -42,19 +41,7 @@
 
 
 class HttpResponse:
-    """A response, filled in as its bytes arrive.
-
-    Attributes:
-        status: Status code; None until the headers are complete.
-        headers: Header values by lower-case name.
-        body: The part of the body that has arrived.
-        first_line_status: Status code of the first line, set even if the rest cannot be parsed.
-        interim_count: How many responses with a status of 1xx came before it.
-        has_begun: Whether any byte of it has arrived.
-        is_complete: Whether all of it has arrived.
-        has_trailing_bytes: Whether bytes follow it that do not start another response, which means that its
-            length may be wrong.
-    """
+    """A response, filled in as its bytes arrive."""
 
     __slots__ = (
         "status",
@@ -69,21 +56,33 @@
 
     def __init__(self) -> None:
         self.status: int | None = None
+        """Status code; None until the headers are complete."""
         self.headers: dict[str, str] = {}
+        """Header values by lower-case name."""
         self.body = bytearray()
+        """The part of the body that has arrived."""
         self.first_line_status: int | None = None
+        """Status code of the first line, set even if the rest cannot be parsed."""
         self.interim_count = 0
+        """How many responses with a status of 1xx came before it."""
         self.has_begun = False
+        """Whether any byte of it has arrived."""
         self.is_complete = False
+        """Whether all of it has arrived."""
         self.has_trailing_bytes = False
+        """Whether bytes follow it that do not start another response.
+
+        If they do, its length may be wrong.
+        """
 
     def feed_from(self, connection: Connection) -> bool:
         """Read the bytes that the connection's parser has received; return whether the response is complete.
 
         Raises:
-            ConnectionClosed: The bytes are not an HTTP response, or it is truncated, too long, or follows
-                too many responses with a status of 1xx.
+            ConnectionClosed: The response is malformed.
         """
+        # A response is malformed if the bytes are not an HTTP response, or if it is truncated, too long, or
+        # follows too many responses with a status of 1xx.
         parser = connection.parser
         try:
             while not self.is_complete:
@@ -122,10 +121,8 @@
             raise ConnectionClosed(True)
 
     def allows_reuse(self, connection: Connection) -> bool:
-        """Prepare the connection for another request; return False if it cannot be reused.
-
-        It can be reused if the response is complete and no other bytes followed it.
-        """
+        """Prepare the connection for another request; return False if it cannot be reused."""
+        # It can be reused if the response is complete and no other bytes followed it.
         parser = connection.parser
         if (
             not self.is_complete
@@ -160,14 +157,10 @@
 
 
 async def receive(connection: Connection, response: HttpResponse, deadline_scope: anyio.CancelScope) -> None:
-    """Read the whole response.
-
-    Args:
-        connection: The connection to read from.
-        response: The response to fill in.
-        deadline_scope: The cancel scope that ends the wait. While the response has begun and is not
-            complete, its deadline is at most RESPONSE_COMPLETION_MS after its first byte.
-    """
+    """Read the whole response."""
+    # `deadline_scope` is the cancel scope that ends the wait. While the response has begun and is not
+    # complete, the deadline of the scope is at most RESPONSE_COMPLETION_MS after the first byte of the
+    # response.
     full_deadline = deadline_scope.deadline
     had_begun = False
     while not response.feed_from(connection):
--- a/swiftthread/client/json_stream.py
+++ b/swiftthread/client/json_stream.py
@@ -27,12 +27,11 @@
     async def read_line(self) -> bytes | None:
         """Returns the next whole line, without its line end.
 
-        It is None at the end of the body, or if the status of the response is not 200.
-
         Raises:
             ConnectionClosed: The connection was closed, or the bytes are not HTTP.
             MalformedJsonStream: The line is longer than MAX_OBJECT_BYTES.
         """
+        # The line is None at the end of the body, or if the status of the response is not 200.
         while not self.lines:
             data = await self._read_data()
             if data is None:
--- a/swiftthread/client/result_notifier.py
+++ b/swiftthread/client/result_notifier.py
@@ -1,7 +1,6 @@
-"""Notifications of the final outcomes of undelivered events, posted again until they are acknowledged.
+"""Notifications of the final outcomes of undelivered events, posted again until they are acknowledged."""
 
-A notification is one line of JSON; the status 204 acknowledges all lines of a request.
-"""
+# A notification is one line of JSON; the status 204 acknowledges all lines of a request.
 
 from __future__ import annotations
 
@@ -53,11 +52,9 @@
         self.connected_to: tuple[str, int] | None = None
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Set the address after discovery has moved.
-
-        Notifications that are not acknowledged yet are posted to the new address, possibly for the second
-        time.
-        """
+        """Set the address after discovery has moved."""
+        # Notifications that are not acknowledged yet are posted to the new address, possibly for the second
+        # time.
         if address != self.address:
             self.address = address
             self.post_scope.cancel()
@@ -97,7 +94,7 @@
             self._close()
 
     async def _post(self, batch: Collection[PendingNotification]) -> bool:
-        """Post notifications and return whether they are acknowledged."""
+        # Post notifications and return whether they are acknowledged.
         body = "".join(notification.line + "\n" for notification in batch).encode()
         request = HttpRequest("POST", "/status", [("Host", "discovery")], body)
         response = HttpResponse()
--- a/swiftthread/client/send_result.py
+++ b/swiftthread/client/send_result.py
@@ -14,5 +14,5 @@
     retry_after_ms: float = 0.0
     """How long the endpoint asked not to be called, from its Retry-After header; 0 without one."""
     is_event_finished: bool = False
-    """Whether the event needs no further attempt, neither by this node nor by its client."""
+    """Whether the event needs no further attempt by this node or by its client."""
     load_report: LoadReport | None = None
