--- a/swiftthread/lab/capacity.py
+++ b/swiftthread/lab/capacity.py
@@ -15,7 +15,7 @@
 INCIDENT_TEMPLATE = """
 format = 1
 title = "{clients} closed-loop clients, one destination, two fast endpoints"
-sees = "How many events per second one node delivers, and at what cost."
+sees = "How many events a second one node ends, and at what cost."
 lasts_s = {seconds}
 drain_s = 6
 [[stream]]
